--- a/Libraries/LibEntry/PeerExchange.cpp
+++ b/Libraries/LibEntry/PeerExchange.cpp
@@ -113,7 +113,7 @@
     return table ? table->version() : Core::TableVersion();
 }
 
-SpreadVersions PeerExchange::versions() const
+StateVersions PeerExchange::versions() const
 {
     return {table_version(), m_drains.version(), m_servers.settled_revision()};
 }
@@ -265,7 +265,7 @@
     for (auto const& record : announce.known())
         m_view.note(from_message(record, now));
     auto const own = versions();
-    SpreadVersions const others {Core::TableVersion(announce.table_version()), DrainsVersion(announce.drains_version()),
+    StateVersions const others {Core::TableVersion(announce.table_version()), DrainsVersion(announce.drains_version()),
         ListRevision(announce.servers_revision())};
     bool const is_ahead = others.is_ahead_of(own);
     if (is_ahead)
--- a/Libraries/LibEntry/PeerExchange.h
+++ b/Libraries/LibEntry/PeerExchange.h
@@ -11,9 +11,9 @@
 #include <LibEntry/SharedMembership.h>
 #include <LibEntry/SharedServers.h>
 #include <LibEntry/SharedTable.h>
-#include <LibEntry/SpreadFrames.h>
-#include <LibEntry/SpreadVersions.h>
+#include <LibEntry/StateVersions.h>
 #include <LibEntry/TableHistory.h>
+#include <LibEntry/UpdateFrameCache.h>
 #include <LibObserve/Metrics.h>
 
 #include <Peers.pb.h>
@@ -68,7 +68,7 @@
         /// Whether this entry hears the platform itself.
         std::function<bool()> follows_platform {[] { return true; }};
         /// The newest that is known to be somewhere by other words than those of peers.
-        std::function<SpreadVersions()> newest_known {[] { return SpreadVersions(); }};
+        std::function<StateVersions()> newest_known {[] { return StateVersions(); }};
     };
 
     PeerExchange(Settings, zmq::context_t&, SharedTable&, SharedDrains&, SharedServers&, SharedMembership&, Events,
@@ -126,7 +126,7 @@
     void announce();
     [[nodiscard]] Envelope make_announcement();
     [[nodiscard]] Core::TableVersion table_version() const;
-    [[nodiscard]] SpreadVersions versions() const;
+    [[nodiscard]] StateVersions versions() const;
     [[nodiscard]] Core::Milliseconds pull_patience() const;
     void send(zmq::socket_t&, zmq::message_t);
     /// Sends to where a message came from, if that is still there.
@@ -148,9 +148,9 @@
     std::uint16_t m_port {0};
     PeerView m_view;
     TableHistory m_history;
-    SpreadFrames<Core::TableVersion> m_table_frames;
+    UpdateFrameCache<Core::TableVersion> m_table_frames;
     ServerHistory m_servers_history;
-    SpreadFrames<ListRevision> m_servers_frames;
+    UpdateFrameCache<ListRevision> m_servers_frames;
     /// Changes have come that lead from another list than the one here.
     bool m_needs_whole_servers {false};
     std::map<std::string, Connection> m_connections;
@@ -158,8 +158,8 @@
     /// The view's generation that the membership and the connections follow.
     std::uint64_t m_told_generation {0};
     /// What this entry had when it last looked, and when it last announced.
-    SpreadVersions m_seen;
-    SpreadVersions m_announced;
+    StateVersions m_seen;
+    StateVersions m_announced;
     bool m_announced_reachable {true};
     Core::MonotonicTime m_next_announcement;
     /// What an entry learns after its start it learns while it runs.
--- a/Libraries/LibEntry/PullSchedule.cpp
+++ b/Libraries/LibEntry/PullSchedule.cpp
@@ -5,7 +5,7 @@
 
 namespace GraniteField::Entry {
 
-void PullSchedule::note_offer(PeerOrigin origin, SpreadVersions const& versions)
+void PullSchedule::note_offer(PeerOrigin origin, StateVersions const& versions)
 {
     auto const known = std::ranges::find(m_offers, origin, &Offer::origin);
     if (known != m_offers.end()) {
@@ -25,12 +25,12 @@
     m_asked_at.reset();
 }
 
-void PullSchedule::forget_what_is_here(SpreadVersions const& own)
+void PullSchedule::forget_what_is_here(StateVersions const& own)
 {
     std::erase_if(m_offers, [&](auto const& offer) { return !offer.versions.is_ahead_of(own); });
 }
 
-bool PullSchedule::has_waited(SpreadVersions const& own, Core::MonotonicTime now, Core::Milliseconds patience)
+bool PullSchedule::has_waited(StateVersions const& own, Core::MonotonicTime now, Core::Milliseconds patience)
 {
     forget_what_is_here(own);
     if (m_offers.empty() && !m_wanted.is_ahead_of(own)) {
@@ -56,7 +56,7 @@
 }
 
 std::optional<PeerOrigin> PullSchedule::next(
-    SpreadVersions const& own, Core::MonotonicTime now, Core::Milliseconds patience)
+    StateVersions const& own, Core::MonotonicTime now, Core::Milliseconds patience)
 {
     if (!has_waited(own, now, patience))
         return std::nullopt;
@@ -71,7 +71,7 @@
     return offer->origin;
 }
 
-bool PullSchedule::should_ask(SpreadVersions const& own, Core::MonotonicTime now, Core::Milliseconds patience)
+bool PullSchedule::should_ask(StateVersions const& own, Core::MonotonicTime now, Core::Milliseconds patience)
 {
     if (!has_waited(own, now, std::max(patience, s_ask_interval)))
         return false;
--- a/Libraries/LibEntry/PullSchedule.h
+++ b/Libraries/LibEntry/PullSchedule.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibCore/Time.h>
-#include <LibEntry/SpreadVersions.h>
+#include <LibEntry/StateVersions.h>
 
 #include <cstddef>
 #include <optional>
@@ -38,32 +38,32 @@
     static constexpr std::size_t s_most_offers = 32;
 
     /// A peer has announced these versions.
-    void note_offer(PeerOrigin, SpreadVersions const&);
+    void note_offer(PeerOrigin, StateVersions const&);
     /// These versions are known to be at some peer.
-    void note_wanted(SpreadVersions const& wanted) { m_wanted = wanted; }
+    void note_wanted(StateVersions const& wanted) { m_wanted = wanted; }
     /// Something newer has come, from a peer or from the platform.
     void note_news();
 
     /// Whom to pull from now, when the platform's own word is waited for so long; nobody if there is no need.
     [[nodiscard]] std::optional<PeerOrigin> next(
-        SpreadVersions const& own, Core::MonotonicTime now, Core::Milliseconds patience);
+        StateVersions const& own, Core::MonotonicTime now, Core::Milliseconds patience);
     /// Whether to ask the neighbours now who is ahead.
-    [[nodiscard]] bool should_ask(SpreadVersions const& own, Core::MonotonicTime now, Core::Milliseconds patience);
+    [[nodiscard]] bool should_ask(StateVersions const& own, Core::MonotonicTime now, Core::Milliseconds patience);
 
 private:
     struct Offer {
         PeerOrigin origin;
-        SpreadVersions versions;
+        StateVersions versions;
         bool was_asked {false};
     };
 
-    void forget_what_is_here(SpreadVersions const& own);
+    void forget_what_is_here(StateVersions const& own);
     /// Whether the platform's own word has been waited for long enough.
-    [[nodiscard]] bool has_waited(SpreadVersions const& own, Core::MonotonicTime now, Core::Milliseconds patience);
+    [[nodiscard]] bool has_waited(StateVersions const& own, Core::MonotonicTime now, Core::Milliseconds patience);
     [[nodiscard]] Offer* best_offer();
 
     std::vector<Offer> m_offers;
-    SpreadVersions m_wanted;
+    StateVersions m_wanted;
     std::optional<Core::MonotonicTime> m_behind_since;
     std::optional<Core::MonotonicTime> m_pulled_at;
     std::optional<Core::MonotonicTime> m_asked_at;
--- a/Libraries/LibEntry/SpreadVersions.h
+++ b/Libraries/LibEntry/StateVersions.h
@@ -9,26 +9,26 @@
 namespace GraniteField::Entry {
 
 /// The versions of what entries hand on to each other.
-struct SpreadVersions {
+struct StateVersions {
     Core::TableVersion table;
     DrainsVersion drains;
     ListRevision servers;
 
     /// Whether anything of it is newer.
-    [[nodiscard]] bool is_ahead_of(SpreadVersions const& other) const
+    [[nodiscard]] bool is_ahead_of(StateVersions const& other) const
     {
         return table > other.table || drains > other.drains || servers > other.servers;
     }
 
     /// Takes over what is newer in the other ones.
-    void merge(SpreadVersions const& other)
+    void merge(StateVersions const& other)
     {
         table = std::max(table, other.table);
         drains = std::max(drains, other.drains);
         servers = std::max(servers, other.servers);
     }
 
-    friend auto operator<=>(SpreadVersions const&, SpreadVersions const&) = default;
+    friend auto operator<=>(StateVersions const&, StateVersions const&) = default;
 };
 
 }
--- a/Libraries/LibEntry/SpreadFrames.h
+++ b/Libraries/LibEntry/UpdateFrameCache.h
@@ -12,7 +12,7 @@
 /// it hands on as it is, and what it makes it makes once for all peers: a small host would spend much of its time on a
 /// message from all of the table, or of the list of servers, for each peer that begins anew.
 template <typename Version>
-class SpreadFrames {
+class UpdateFrameCache {
 public:
     /// Peers are at the version before, or a few behind, or have none.
     static constexpr std::size_t s_most = 8;
--- a/Libraries/LibEntry/WatchDuty.cpp
+++ b/Libraries/LibEntry/WatchDuty.cpp
@@ -63,7 +63,7 @@
 void WatchDuty::look_at_versions(Core::MonotonicTime now)
 {
     auto const table = m_table.current();
-    SpreadVersions const own {table ? table->version() : Core::TableVersion(),
+    StateVersions const own {table ? table->version() : Core::TableVersion(),
         m_drains == nullptr ? DrainsVersion() : m_drains->version(), m_servers.settled_revision()};
     m_election.note_versions(own, now);
 }
--- a/Libraries/LibEntry/WatchElection.cpp
+++ b/Libraries/LibEntry/WatchElection.cpp
@@ -65,7 +65,7 @@
     m_wanted = m_heard.versions;
 }
 
-void WatchElection::note_versions(SpreadVersions const& versions, Core::MonotonicTime now)
+void WatchElection::note_versions(StateVersions const& versions, Core::MonotonicTime now)
 {
     if (versions.table > std::max(m_heard.versions.table, m_own.table))
         m_table_known_since = now;
--- a/Libraries/LibEntry/WatchElection.h
+++ b/Libraries/LibEntry/WatchElection.h
@@ -3,7 +3,7 @@
 #include <LibCore/RecentGaps.h>
 #include <LibCore/RunningTime.h>
 #include <LibCore/Time.h>
-#include <LibEntry/SpreadVersions.h>
+#include <LibEntry/StateVersions.h>
 
 #include <array>
 #include <cstddef>
@@ -18,7 +18,7 @@
     /// The same for any gateway with a healthy watch.
     std::optional<Core::MonotonicTime> any;
     /// The newest versions known to any gateway.
-    SpreadVersions versions;
+    StateVersions versions;
 
     /// Takes the newer parts of another report.
     void merge(StoreReport const& other);
@@ -27,7 +27,7 @@
 /// What a gateway knows about how current its state is.
 struct StoreKnowledge {
     /// The newest versions known to any gateway, this one included.
-    SpreadVersions versions;
+    StateVersions versions;
     /// When this gateway first received a report of that table.
     std::optional<Core::MonotonicTime> table_known_since;
     /// Time of the last report of a healthy watch, this gateway's included.
@@ -109,7 +109,7 @@
     /// Takes a report of another gateway.
     void note_report(StoreReport const&, Core::MonotonicTime now);
     /// Records the versions that this gateway has.
-    void note_versions(SpreadVersions const&, Core::MonotonicTime now);
+    void note_versions(StateVersions const&, Core::MonotonicTime now);
 
     /// Records a call that fails unless it is answered by `overdue_at`.
     void note_call(Watch, Core::MonotonicTime overdue_at);
@@ -167,10 +167,10 @@
     Core::RecentGaps m_report_gaps;
     std::optional<Core::MonotonicTime> m_table_known_since;
     /// The versions of this gateway.
-    SpreadVersions m_own;
+    StateVersions m_own;
     /// When a newer version was first reported, and that version.
     std::optional<Core::MonotonicTime> m_behind_since;
-    SpreadVersions m_wanted;
+    StateVersions m_wanted;
     std::array<Contact, s_watch_count> m_contacts;
     /// When this gateway started to watch without being elected.
     std::optional<Core::MonotonicTime> m_stepped_in;
--- a/Tests/LibEntry/PullScheduleTest.cpp
+++ b/Tests/LibEntry/PullScheduleTest.cpp
@@ -17,9 +17,9 @@
 
 Core::MonotonicTime const s_start {1h};
 constexpr Core::Milliseconds s_patience {600};
-SpreadVersions const s_own {Core::TableVersion(1), DrainsVersion(1), ListRevision(1)};
+StateVersions const s_own {Core::TableVersion(1), DrainsVersion(1), ListRevision(1)};
 
-SpreadVersions with_table(std::uint64_t version)
+StateVersions with_table(std::uint64_t version)
 {
     auto versions = s_own;
     versions.table = Core::TableVersion(version);
