--- a/Libraries/LibEntry/PeerExchange.cpp
+++ b/Libraries/LibEntry/PeerExchange.cpp
@@ -134,7 +134,7 @@
         m_running.note_tick(now);
         auto const own = versions();
         if (own != std::exchange(m_seen, own))
-            m_pulls.note_news();
+            m_pulls.note_update();
         if (auto table = m_table.current())
             m_history.note(std::move(table));
         if (auto servers = m_servers.settled())
@@ -378,7 +378,7 @@
         auto taken = m_table.current();
         if (taken->version() == to)
             m_history.note_step(std::move(taken), from, std::move(edits));
-        m_events.on_news();
+        m_events.on_update();
     } catch (Core::InvalidInput const& error) {
         m_rejected.add();
         LOG(ERROR) << "peers: a peer's table can't be taken: " << error.what();
@@ -388,7 +388,7 @@
 void PeerExchange::handle_drains(Message::DrainsUpdate const& update)
 {
     if (m_drains.offer(from_message(update)))
-        m_events.on_news();
+        m_events.on_update();
 }
 
 void PeerExchange::handle_servers(Message::ServersUpdate const& update, zmq::message_t& frame)
@@ -413,7 +413,7 @@
         auto const taken = m_servers.settled();
         if (taken && taken->revision == changes->to)
             m_servers_history.note_step(taken, *std::move(changes));
-        m_events.on_news();
+        m_events.on_update();
     } catch (Core::InvalidInput const& error) {
         m_rejected.add();
         LOG(ERROR) << "peers: a peer's list of servers can't be taken: " << error.what();
@@ -464,9 +464,9 @@
 
 void PeerExchange::announce_if_due(Core::MonotonicTime now)
 {
-    bool const has_news = versions() != m_announced || m_is_platform_reachable != m_announced_reachable
+    bool const has_changes = versions() != m_announced || m_is_platform_reachable != m_announced_reachable
         || m_pulls.should_ask(versions(), m_running.clock(now), pull_patience()) || is_member_request_due(now);
-    if (!has_news && now < m_next_announcement)
+    if (!has_changes && now < m_next_announcement)
         return;
     announce();
     auto const interval
--- a/Libraries/LibEntry/PeerExchange.h
+++ b/Libraries/LibEntry/PeerExchange.h
@@ -62,7 +62,7 @@
     /// What the owner does for the exchange, on its thread.
     struct Events {
         /// A peer brought something newer.
-        std::function<void()> on_news;
+        std::function<void()> on_update;
         /// This gateway is, or is not any more, one of those that watch the platform.
         std::function<void(bool)> on_election {[](bool) {}};
         /// Whether this entry hears the platform itself.
--- a/Libraries/LibEntry/PullSchedule.cpp
+++ b/Libraries/LibEntry/PullSchedule.cpp
@@ -18,7 +18,7 @@
         m_offers.push_back({std::move(origin), versions});
 }
 
-void PullSchedule::note_news()
+void PullSchedule::note_update()
 {
     m_behind_since.reset();
     m_pulled_at.reset();
--- a/Libraries/LibEntry/PullSchedule.h
+++ b/Libraries/LibEntry/PullSchedule.h
@@ -42,7 +42,7 @@
     /// These versions are known to be at some peer.
     void note_wanted(StateVersions const& wanted) { m_wanted = wanted; }
     /// Something newer has come, from a peer or from the platform.
-    void note_news();
+    void note_update();
 
     /// Whom to pull from now, when the platform's own word is waited for so long; nobody if there is no need.
     [[nodiscard]] std::optional<PeerOrigin> next(
--- a/Libraries/LibEntry/TableFollower.cpp
+++ b/Libraries/LibEntry/TableFollower.cpp
@@ -5,12 +5,12 @@
 namespace GraniteField::Entry {
 
 TableFollower::TableFollower(PlatformSettings const& settings, SharedTable& table, PeerExchange& peers,
-    std::function<void()> on_news, Observe::MetricRegistry& metrics)
+    std::function<void()> on_update, Observe::MetricRegistry& metrics)
     : m_watch_wait(settings.watch_wait)
     , m_idle_interval(settings.idle_interval)
     , m_table(table)
     , m_peers(peers)
-    , m_on_news(std::move(on_news))
+    , m_on_update(std::move(on_update))
     , m_metrics(metrics)
     , m_client(settings.address, settings.call_timeout)
     , m_store(m_client)
@@ -66,7 +66,7 @@
 {
     auto const version = table.version();
     if (m_table.offer(std::move(table)))
-        return m_on_news();
+        return m_on_update();
     auto const current = m_table.current();
     if (current && version < current->version()) {
         m_metrics.counter("granitefield_older_tables_total").add();
--- a/Libraries/LibEntry/TableFollower.h
+++ b/Libraries/LibEntry/TableFollower.h
@@ -16,9 +16,9 @@
 /// the last table stays in force, and tries come less and less often.
 class TableFollower {
 public:
-    /// `on_news` is called on this thread when there is a newer table.
-    TableFollower(
-        PlatformSettings const&, SharedTable&, PeerExchange&, std::function<void()> on_news, Observe::MetricRegistry&);
+    /// `on_update` is called on this thread when there is a newer table.
+    TableFollower(PlatformSettings const&, SharedTable&, PeerExchange&, std::function<void()> on_update,
+        Observe::MetricRegistry&);
     ~TableFollower();
     TableFollower(TableFollower const&) = delete;
     TableFollower& operator=(TableFollower const&) = delete;
@@ -32,7 +32,7 @@
     Core::Milliseconds m_idle_interval;
     SharedTable& m_table;
     PeerExchange& m_peers;
-    std::function<void()> m_on_news;
+    std::function<void()> m_on_update;
     Observe::MetricRegistry& m_metrics;
     Platform::ObjectClient m_client;
     Platform::TableStore m_store;
--- a/Tests/LibEntry/PullScheduleTest.cpp
+++ b/Tests/LibEntry/PullScheduleTest.cpp
@@ -59,7 +59,7 @@
     pulls.note_offer(peer(0), with_table(2));
     EXPECT_FALSE(pulls.next(s_own, s_start, s_patience));
     EXPECT_FALSE(pulls.next(s_own, s_start + s_patience - 1ms, s_patience));
-    pulls.note_news();
+    pulls.note_update();
     EXPECT_FALSE(pulls.next(with_table(2), s_start + s_patience, s_patience));
 }
 
@@ -95,9 +95,9 @@
     EXPECT_EQ(pulls.next(s_own, s_start, 0ms), peer(0));
     pulls.note_offer(peer(1), with_table(3));
     EXPECT_FALSE(pulls.next(s_own, s_start + 1ms, 0ms));
-    pulls.note_news();
+    pulls.note_update();
     EXPECT_EQ(pulls.next(with_table(2), s_start + 2ms, 0ms), peer(1));
-    pulls.note_news();
+    pulls.note_update();
     EXPECT_FALSE(pulls.next(with_table(3), s_start + 3ms, 0ms));
 }
 
@@ -142,7 +142,7 @@
         now += Core::Milliseconds(step);
         pulls.note_offer(peer(static_cast<std::size_t>(step)), with_table(2));
         if (step % 7 == 0)
-            pulls.note_news();
+            pulls.note_update();
         else
             static_cast<void>(pulls.next(s_own, now, s_patience));
     }
