--- a/Libraries/LibEntry/PeerExchange.cpp
+++ b/Libraries/LibEntry/PeerExchange.cpp
@@ -140,7 +140,7 @@
         if (auto servers = m_servers.settled())
             m_servers_history.note(std::move(servers));
         m_view.set_platform_reachable(m_is_platform_reachable);
-        m_view.forget_silent(now);
+        m_view.remove_timed_out(now);
         m_should_watch = m_view.should_watch();
         update_election(now);
         m_membership.is_acquainted = is_acquainted(now);
@@ -426,7 +426,7 @@
     for (auto const& neighbour : m_view.neighbours())
         wanted.push_back(neighbour.address);
     // A relay believes only gateways that it knows.
-    for (auto const& relay : m_view.first_relays(s_relays_connected))
+    for (auto const& relay : m_view.preferred_relays(s_relays_connected))
         wanted.push_back(relay.address);
     // Seeds are for the time before anybody is known; after a parting they lead back together.
     for (auto const& seed : m_settings.seeds)
@@ -458,7 +458,7 @@
     if (!m_running.is_slow())
         return interval;
     // Peers must not forget this process because of one lost announcement.
-    auto const longest = std::max(interval, PeerView::s_memory / s_announcements_per_memory);
+    auto const longest = std::max(interval, PeerView::s_peer_timeout / s_announcements_per_memory);
     return std::min(interval * s_slow_announce_factor, longest);
 }
 
--- a/Libraries/LibEntry/PeerView.cpp
+++ b/Libraries/LibEntry/PeerView.cpp
@@ -24,16 +24,16 @@
         m_generation += has_moved ? 1 : 0;
         return;
     }
-    if (m_peers.size() >= s_largest_count)
+    if (m_peers.size() >= s_max_peers)
         return;
     m_peers.emplace(peer.name, std::move(peer));
     ++m_generation;
 }
 
-void PeerView::forget_silent(Core::MonotonicTime now)
+void PeerView::remove_timed_out(Core::MonotonicTime now)
 {
     auto const count
-        = std::erase_if(m_peers, [now](auto const& item) { return item.second.last_heard + s_memory < now; });
+        = std::erase_if(m_peers, [now](auto const& item) { return item.second.last_heard + s_peer_timeout < now; });
     m_generation += count > 0 ? 1 : 0;
 }
 
@@ -60,7 +60,7 @@
 
 }
 
-std::vector<Peer> PeerView::first_relays(std::size_t count) const
+std::vector<Peer> PeerView::preferred_relays(std::size_t count) const
 {
     std::vector<Peer> relays;
     for (auto const& [name, peer] : m_peers) {
--- a/Libraries/LibEntry/PeerView.h
+++ b/Libraries/LibEntry/PeerView.h
@@ -35,8 +35,8 @@
 class PeerView {
 public:
     /// An entry that nobody has heard for this long is forgotten.
-    static constexpr Core::Milliseconds s_memory {45'000};
-    static constexpr std::size_t s_largest_count = 4'000;
+    static constexpr Core::Milliseconds s_peer_timeout {45'000};
+    static constexpr std::size_t s_max_peers = 4'000;
     /// Entries of a group that watch the platform. Two, so that one may fail; more would only cost calls.
     static constexpr std::size_t s_watchers_per_group = 2;
     /// In a fleet of so few all watch: their calls cost little, and few of them are hit at once the more often.
@@ -52,7 +52,7 @@
 
     /// Takes what was heard of an entry, directly or from another, if it is newer than what is known.
     void note(Peer);
-    void forget_silent(Core::MonotonicTime now);
+    void remove_timed_out(Core::MonotonicTime now);
 
     [[nodiscard]] std::size_t count() const { return m_peers.size(); }
     /// This gateway and those that it knows, as the exchange of loads wants them.
@@ -67,7 +67,7 @@
     /// The same for a gateway, which also watches where there are few.
     [[nodiscard]] bool is_elected() const { return m_peers.size() < s_small_fleet || should_watch(); }
     /// Those of its group that relay loads before the others.
-    [[nodiscard]] std::vector<Peer> first_relays(std::size_t count) const;
+    [[nodiscard]] std::vector<Peer> preferred_relays(std::size_t count) const;
 
 private:
     Peer m_self;
--- a/Tests/LibEntry/PeersTest.cpp
+++ b/Tests/LibEntry/PeersTest.cpp
@@ -108,9 +108,9 @@
     older.address = "10.0.0.9:9";
     view.note(older);
     EXPECT_EQ(view.neighbours().front().address, make_peer(1, 1).address);
-    view.forget_silent(s_now + PeerView::s_memory);
+    view.remove_timed_out(s_now + PeerView::s_peer_timeout);
     EXPECT_EQ(view.count(), 1U);
-    view.forget_silent(s_now + PeerView::s_memory + 1ms);
+    view.remove_timed_out(s_now + PeerView::s_peer_timeout + 1ms);
     EXPECT_EQ(view.count(), 0U);
 }
 
