--- a/Libraries/LibEntry/PeerExchange.cpp
+++ b/Libraries/LibEntry/PeerExchange.cpp
@@ -27,7 +27,7 @@
 constexpr int s_slow_announce_factor = 4;
 constexpr int s_announcements_per_memory = 3;
 /// From then on a gateway counts on knowing the members of its group.
-constexpr Core::Milliseconds s_acquaintance {1'500};
+constexpr Core::Milliseconds s_discovery_time {1'500};
 /// Relays of the own group that are told of this gateway.
 constexpr std::size_t s_relays_connected = 2;
 /// A connection that has fallen silent without an end shows by probes only.
@@ -143,9 +143,9 @@
         m_view.remove_timed_out(now);
         m_should_watch = m_view.should_watch();
         update_election(now);
-        m_membership.is_acquainted = is_acquainted(now);
-        m_membership.other_entries = m_view.count();
-        m_membership.has_found_others = m_view.count() > 0 || is_connected();
+        m_membership.is_discovery_complete = is_discovery_complete(now);
+        m_membership.peer_count = m_view.count();
+        m_membership.has_found_peers = m_view.count() > 0 || is_connected();
         m_known.set(static_cast<std::int64_t>(m_view.count()));
         if (std::exchange(m_told_generation, m_view.generation()) != m_view.generation()) {
             m_membership.set_load_members(m_view.load_members());
@@ -165,9 +165,9 @@
         [](auto const& item) { return (item.second.socket->get(zmq::sockopt::events) & ZMQ_POLLOUT) != 0; });
 }
 
-bool PeerExchange::is_acquainted(Core::MonotonicTime now) const
+bool PeerExchange::is_discovery_complete(Core::MonotonicTime now) const
 {
-    return m_running.at(now) >= s_acquaintance;
+    return m_running.at(now) >= s_discovery_time;
 }
 
 bool PeerExchange::is_member_request_due(Core::MonotonicTime now) const
@@ -178,7 +178,7 @@
 void PeerExchange::update_election(Core::MonotonicTime now)
 {
     // Before it knows the others each would elect itself; the seeds, whom all ask first, begin at once.
-    m_events.on_election(is_acquainted(now) ? m_view.is_elected() : m_is_seed);
+    m_events.on_election(is_discovery_complete(now) ? m_view.is_elected() : m_is_seed);
 }
 
 void PeerExchange::wait_for_messages()
--- a/Libraries/LibEntry/PeerExchange.h
+++ b/Libraries/LibEntry/PeerExchange.h
@@ -118,7 +118,7 @@
     void update_election(Core::MonotonicTime now);
     /// Whether a connection to a neighbour or a seed is up.
     [[nodiscard]] bool is_connected() const;
-    [[nodiscard]] bool is_acquainted(Core::MonotonicTime now) const;
+    [[nodiscard]] bool is_discovery_complete(Core::MonotonicTime now) const;
     [[nodiscard]] bool is_member_request_due(Core::MonotonicTime now) const;
     /// How often versions are announced when nothing changes.
     [[nodiscard]] Core::Milliseconds usual_announce_interval() const;
--- a/Libraries/LibEntry/PeerView.cpp
+++ b/Libraries/LibEntry/PeerView.cpp
@@ -77,7 +77,7 @@
     LoadMembers members {member_of(m_self), {}};
     for (auto const& [name, peer] : m_peers) {
         if (!peer.load_address.empty())
-            members.others.push_back(member_of(peer));
+            members.peers.push_back(member_of(peer));
     }
     return members;
 }
--- a/Libraries/LibEntry/Router.cpp
+++ b/Libraries/LibEntry/Router.cpp
@@ -159,7 +159,7 @@
     m_last_tick = time;
     for (auto const& [name, link] : m_links.all())
         apply(*link, link->tick(time));
-    m_runs.set_entry_count(std::max(m_least_entry_count, m_membership.other_entries + 1));
+    m_runs.set_entry_count(std::max(m_least_entry_count, m_membership.peer_count + 1));
     m_runs.tick(time);
     // A row that moved gets its new link once the old one is closed.
     if (m_links.close_removed())
--- a/Libraries/LibEntry/SharedMembership.h
+++ b/Libraries/LibEntry/SharedMembership.h
@@ -34,19 +34,19 @@
 /// The gateways that exchange loads.
 struct LoadMembers {
     LoadMember self;
-    std::vector<LoadMember> others;
+    std::vector<LoadMember> peers;
 };
 
 /// What the peer exchange knows of the other entries and the router needs.
 class SharedMembership {
 public:
     /// Entries that are known to be there, without this one.
-    std::atomic<std::size_t> other_entries {0};
+    std::atomic<std::size_t> peer_count {0};
     /// Whether this entry has had the time to get to know the others.
-    std::atomic<bool> is_acquainted {false};
+    std::atomic<bool> is_discovery_complete {false};
 
     /// Whether another entry is there: one is known, or a connection to a seed has come up.
-    std::atomic<bool> has_found_others {false};
+    std::atomic<bool> has_found_peers {false};
 
     /// Null before they are known. Another object whenever they change.
     [[nodiscard]] std::shared_ptr<LoadMembers const> load_members() const
--- a/Libraries/LibGateway/BackendFleet.cpp
+++ b/Libraries/LibGateway/BackendFleet.cpp
@@ -143,7 +143,7 @@
         return;
     }
     std::vector<std::uint64_t> others;
-    for (auto const& other : members->others)
+    for (auto const& other : members->peers)
         others.push_back(other.order);
     m_cold_shares.set_gateways(members->self.order, others);
     m_limit_shares.set_gateways(members->self.order, std::move(others));
--- a/Libraries/LibGateway/GatewayServer.cpp
+++ b/Libraries/LibGateway/GatewayServer.cpp
@@ -315,7 +315,7 @@
 
 void GatewayServer::follow_members()
 {
-    auto const members = m_membership.is_acquainted ? m_membership.load_members() : nullptr;
+    auto const members = m_membership.is_discovery_complete ? m_membership.load_members() : nullptr;
     if (members == m_members)
         return;
     m_members = members;
@@ -356,7 +356,7 @@
         for (auto const& run : m_runs)
             run->note_absence(now);
     }
-    m_context.entry_count = m_membership.other_entries + 1;
+    m_context.entry_count = m_membership.peer_count + 1;
     follow_members();
     m_fleet.observe(now);
     m_crashes.turn(now);
--- a/Libraries/LibGateway/LoadExchange.cpp
+++ b/Libraries/LibGateway/LoadExchange.cpp
@@ -79,7 +79,7 @@
     }
     using Others = Entry::WatchElection::Others;
     if (m_sharing.is_joining(now))
-        m_duty.note_joining(m_membership.has_found_others ? Others::Found : Others::NotFound, now);
+        m_duty.note_joining(m_membership.has_found_peers ? Others::Found : Others::NotFound, now);
     m_duty.note_report(m_sharing.take_store_report(), now);
     m_sharing.set_store_report(m_duty.report(now));
     auto const own_clock = std::chrono::floor<Core::Milliseconds>(std::chrono::system_clock::now());
--- a/Libraries/LibGateway/LoadSharing.cpp
+++ b/Libraries/LibGateway/LoadSharing.cpp
@@ -103,7 +103,7 @@
 void LoadSharing::set_members(Entry::LoadMembers const& members)
 {
     m_election.set_members(members);
-    m_other_gateways = members.others.size();
+    m_other_gateways = members.peers.size();
 }
 
 void LoadSharing::note_placement(BackendView const& server, std::span<PromptPart const> parts, std::uint32_t own_tokens)
--- a/Libraries/LibGateway/RelayElection.cpp
+++ b/Libraries/LibGateway/RelayElection.cpp
@@ -10,7 +10,7 @@
     m_self = members.self;
     m_groups.clear();
     std::map<std::string, Contact> contacts;
-    for (auto const& member : members.others) {
+    for (auto const& member : members.peers) {
         m_groups[member.group].push_back(member);
         auto const known = m_contacts.find(member.address);
         contacts[member.address] = known == m_contacts.end() ? Contact() : known->second;
--- a/Tests/LibGateway/CrashRulesTest.cpp
+++ b/Tests/LibGateway/CrashRulesTest.cpp
@@ -88,9 +88,9 @@
             members.push_back({m_nodes[number]->gateway.load_address(), "here", 100, number});
         for (std::size_t number = 0; number < s_gateways; ++number) {
             Entry::LoadMembers known {members[number], members};
-            known.others.erase(known.others.begin() + static_cast<std::ptrdiff_t>(number));
+            known.peers.erase(known.peers.begin() + static_cast<std::ptrdiff_t>(number));
             m_nodes[number]->membership.set_load_members(known);
-            m_nodes[number]->membership.other_entries = s_gateways - 1;
+            m_nodes[number]->membership.peer_count = s_gateways - 1;
         }
     }
 
--- a/Tests/LibGateway/DrainRulesTest.cpp
+++ b/Tests/LibGateway/DrainRulesTest.cpp
@@ -57,7 +57,7 @@
     void get_to_know_the_other_gateways()
     {
         m_membership.set_load_members({});
-        m_membership.is_acquainted = true;
+        m_membership.is_discovery_complete = true;
     }
 
     Entry::SharedDrains m_drains;
--- a/Tests/LibGateway/LoadFleet.h
+++ b/Tests/LibGateway/LoadFleet.h
@@ -92,7 +92,7 @@
             Entry::LoadMembers members {node->member, {}};
             for (auto const& other : m_nodes) {
                 if (other != node)
-                    members.others.push_back(other->member);
+                    members.peers.push_back(other->member);
             }
             node->sharing.set_members(members);
             node->fleet.follow(&members);
--- a/Tests/LibGateway/RateLimitRulesTest.cpp
+++ b/Tests/LibGateway/RateLimitRulesTest.cpp
@@ -31,7 +31,7 @@
     void start_alone()
     {
         m_membership.set_load_members({});
-        m_membership.is_acquainted = true;
+        m_membership.is_discovery_complete = true;
         start();
         auto const knows_that_it_is_alone = [this] {
             auto const status = nlohmann::json::parse(m_gateway->status());
--- a/Tests/LibGateway/StarvedFleet.h
+++ b/Tests/LibGateway/StarvedFleet.h
@@ -119,7 +119,7 @@
             Entry::LoadMembers members {gateway->member(), {}};
             for (auto const& other : m_gateways) {
                 if (other != gateway)
-                    members.others.push_back(other->member());
+                    members.peers.push_back(other->member());
             }
             gateway->set_members(members);
             gateway->set_next_run(m_now + draw_wait());
