--- a/Libraries/LibEntry/PeerExchange.cpp
+++ b/Libraries/LibEntry/PeerExchange.cpp
@@ -118,12 +118,12 @@
     return {table_version(), m_drains.version(), m_servers.settled_revision()};
 }
 
-Core::Milliseconds PeerExchange::pull_patience() const
+Core::Milliseconds PeerExchange::pull_delay() const
 {
     // Who has nothing yet, or does not hear the platform, takes a peer's word at once.
     bool const has_begun = m_table.current() != nullptr && m_servers.settled() != nullptr;
     bool const hears_platform = m_is_platform_reachable && m_events.follows_platform();
-    return has_begun && hears_platform ? m_settings.pull_patience : Core::Milliseconds(0);
+    return has_begun && hears_platform ? m_settings.pull_delay : Core::Milliseconds(0);
 }
 
 void PeerExchange::run()
@@ -285,7 +285,7 @@
 void PeerExchange::pull_if_due(Core::MonotonicTime now)
 {
     auto const own = versions();
-    auto const origin = m_pulls.next(own, m_running.clock(now), pull_patience());
+    auto const origin = m_pulls.next(own, m_running.clock(now), pull_delay());
     if (!origin)
         return;
     auto request = make_envelope();
@@ -447,7 +447,8 @@
         connection.socket->set(zmq::sockopt::maxmsgsize, Protocol::s_largest_message_bytes);
         connection.socket->connect("tcp://" + address);
         // A new neighbour hears of this entry soon.
-        m_next_announcement = std::min(m_next_announcement, Core::monotonic_now() + m_settings.first_interval);
+        m_next_announcement
+            = std::min(m_next_announcement, Core::monotonic_now() + m_settings.initial_announce_interval);
     }
     std::erase_if(m_connections, [](auto const& item) { return !item.second.is_wanted; });
 }
@@ -465,12 +466,12 @@
 void PeerExchange::announce_if_due(Core::MonotonicTime now)
 {
     bool const has_changes = versions() != m_announced || m_is_platform_reachable != m_announced_reachable
-        || m_pulls.should_ask(versions(), m_running.clock(now), pull_patience()) || is_member_request_due(now);
+        || m_pulls.should_ask(versions(), m_running.clock(now), pull_delay()) || is_member_request_due(now);
     if (!has_changes && now < m_next_announcement)
         return;
     announce();
     auto const interval
-        = table_version() == Core::TableVersion() ? m_settings.first_interval : usual_announce_interval();
+        = table_version() == Core::TableVersion() ? m_settings.initial_announce_interval : usual_announce_interval();
     // Spread over a quarter of the interval, so that entries that started together do not stay together.
     static thread_local std::mt19937 s_generator {std::random_device {}()};
     std::uniform_int_distribution<std::int64_t> spread(interval.count() * 3 / 4, interval.count());
--- a/Libraries/LibEntry/PeerExchange.h
+++ b/Libraries/LibEntry/PeerExchange.h
@@ -53,10 +53,10 @@
         /// How often versions are announced when nothing changes.
         Core::Milliseconds announce_interval {10'000};
         /// How often the seeds are asked while there is no table.
-        Core::Milliseconds first_interval {200};
+        Core::Milliseconds initial_announce_interval {200};
         /// How long the platform's own word is waited for before a peer's is asked for, by an entry that hears the
         /// platform itself.
-        Core::Milliseconds pull_patience {0};
+        Core::Milliseconds pull_delay {0};
     };
 
     /// What the owner does for the exchange, on its thread.
@@ -127,7 +127,7 @@
     [[nodiscard]] Envelope make_announcement();
     [[nodiscard]] Core::TableVersion table_version() const;
     [[nodiscard]] StateVersions versions() const;
-    [[nodiscard]] Core::Milliseconds pull_patience() const;
+    [[nodiscard]] Core::Milliseconds pull_delay() const;
     void send(zmq::socket_t&, zmq::message_t);
     /// Sends to where a message came from, if that is still there.
     void send_to(PeerOrigin const&, zmq::message_t);
--- a/Libraries/LibSettings/DaemonSettings.cpp
+++ b/Libraries/LibSettings/DaemonSettings.cpp
@@ -91,7 +91,7 @@
     if (reader.member("advertised-address") != nullptr)
         reader.read("advertised-address", peers.advertised_address.emplace());
     reader.read("announce-interval", peers.announce_interval, 50ms, 30s);
-    reader.read("pull-patience", peers.pull_patience, 0ms, 30s);
+    reader.read("pull-patience", peers.pull_delay, 0ms, 30s);
     reader.read_addresses("seeds", peers.seeds);
     reader.finish();
 }
