--- a/Libraries/LibEntry/PeerExchange.cpp
+++ b/Libraries/LibEntry/PeerExchange.cpp
@@ -151,7 +151,7 @@
             m_membership.set_load_members(m_view.load_members());
             update_connections();
         }
-        m_pulls.note_wanted(m_events.newest_known());
+        m_pulls.note_newest_known(m_events.newest_known());
         pull_if_due(now);
         announce_if_due(now);
     }
@@ -466,7 +466,8 @@
 void PeerExchange::announce_if_due(Core::MonotonicTime now)
 {
     bool const has_changes = versions() != m_announced || m_is_platform_reachable != m_announced_reachable
-        || m_pulls.should_ask(versions(), m_running.clock(now), pull_delay()) || is_member_request_due(now);
+        || m_pulls.should_query_neighbours(versions(), m_running.clock(now), pull_delay())
+        || is_member_request_due(now);
     if (!has_changes && now < m_next_announcement)
         return;
     announce();
--- a/Libraries/LibEntry/PullSchedule.h
+++ b/Libraries/LibEntry/PullSchedule.h
@@ -30,17 +30,17 @@
 class PullSchedule {
 public:
     /// A pull without an answer for this long is given up; peers answer within a round trip.
-    static constexpr Core::Milliseconds s_answer_limit {500};
+    static constexpr Core::Milliseconds s_pull_timeout {500};
     /// Who knows from others' word that it is behind, and of no peer that is ahead, asks all neighbours this often.
     /// Ordinary news come with an announcement within some 100 ms, so that nobody has to ask for them.
-    static constexpr Core::Milliseconds s_ask_interval {300};
+    static constexpr Core::Milliseconds s_query_interval {300};
     /// Peers that are remembered as ahead; a gateway of the target size has ten neighbours each way.
-    static constexpr std::size_t s_most_offers = 32;
+    static constexpr std::size_t s_max_offers = 32;
 
     /// A peer has announced these versions.
     void note_offer(PeerOrigin, StateVersions const&);
     /// These versions are known to be at some peer.
-    void note_wanted(StateVersions const& wanted) { m_wanted = wanted; }
+    void note_newest_known(StateVersions const& wanted) { m_newest_known = wanted; }
     /// Something newer has come, from a peer or from the platform.
     void note_update();
 
@@ -48,25 +48,26 @@
     [[nodiscard]] std::optional<PeerOrigin> next(
         StateVersions const& own, Core::MonotonicTime now, Core::Milliseconds patience);
     /// Whether to ask the neighbours now who is ahead.
-    [[nodiscard]] bool should_ask(StateVersions const& own, Core::MonotonicTime now, Core::Milliseconds patience);
+    [[nodiscard]] bool should_query_neighbours(
+        StateVersions const& own, Core::MonotonicTime now, Core::Milliseconds patience);
 
 private:
     struct Offer {
         PeerOrigin origin;
         StateVersions versions;
-        bool was_asked {false};
+        bool was_pulled {false};
     };
 
-    void forget_what_is_here(StateVersions const& own);
+    void remove_satisfied_offers(StateVersions const& own);
     /// Whether the platform's own word has been waited for long enough.
-    [[nodiscard]] bool has_waited(StateVersions const& own, Core::MonotonicTime now, Core::Milliseconds patience);
+    [[nodiscard]] bool has_delay_passed(StateVersions const& own, Core::MonotonicTime now, Core::Milliseconds patience);
     [[nodiscard]] Offer* best_offer();
 
     std::vector<Offer> m_offers;
-    StateVersions m_wanted;
+    StateVersions m_newest_known;
     std::optional<Core::MonotonicTime> m_behind_since;
     std::optional<Core::MonotonicTime> m_pulled_at;
-    std::optional<Core::MonotonicTime> m_asked_at;
+    std::optional<Core::MonotonicTime> m_queried_at;
 };
 
 }
--- a/Tests/LibEntry/PullScheduleTest.cpp
+++ b/Tests/LibEntry/PullScheduleTest.cpp
@@ -45,12 +45,12 @@
     PullSchedule pulls;
     unsigned count = 0;
     std::size_t number = 0;
-    for (auto time = s_start; time < s_start + PullSchedule::s_answer_limit; time += 1ms) {
+    for (auto time = s_start; time < s_start + PullSchedule::s_pull_timeout; time += 1ms) {
         pulls.note_offer(peer(number++ % 20), with_table(2));
         count += pulls.next(s_own, time, 0ms) ? 1 : 0;
     }
     EXPECT_EQ(count, 1U);
-    EXPECT_TRUE(pulls.next(s_own, s_start + PullSchedule::s_answer_limit, 0ms));
+    EXPECT_TRUE(pulls.next(s_own, s_start + PullSchedule::s_pull_timeout, 0ms));
 }
 
 TEST(PullSchedule, WhatThePlatformTellsInTimeIsNotPulled)
@@ -82,7 +82,7 @@
         auto const origin = pulls.next(s_own, now, 0ms);
         ASSERT_TRUE(origin);
         asked.insert(origin->address);
-        now += PullSchedule::s_answer_limit;
+        now += PullSchedule::s_pull_timeout;
     }
     EXPECT_EQ(asked.size(), 5U);
     EXPECT_TRUE(pulls.next(s_own, now, 0ms));
@@ -113,23 +113,23 @@
 TEST(PullSchedule, WhoKnowsOfNobodyThatIsAheadAsksItsNeighbours)
 {
     PullSchedule pulls;
-    pulls.note_wanted(with_table(2));
-    EXPECT_FALSE(pulls.should_ask(s_own, s_start, 0ms));
-    EXPECT_FALSE(pulls.should_ask(s_own, s_start + PullSchedule::s_ask_interval - 1ms, 0ms));
-    EXPECT_TRUE(pulls.should_ask(s_own, s_start + PullSchedule::s_ask_interval, 0ms));
-    EXPECT_FALSE(pulls.should_ask(s_own, s_start + PullSchedule::s_ask_interval + 1ms, 0ms));
-    EXPECT_TRUE(pulls.should_ask(s_own, s_start + 2 * PullSchedule::s_ask_interval, 0ms));
+    pulls.note_newest_known(with_table(2));
+    EXPECT_FALSE(pulls.should_query_neighbours(s_own, s_start, 0ms));
+    EXPECT_FALSE(pulls.should_query_neighbours(s_own, s_start + PullSchedule::s_query_interval - 1ms, 0ms));
+    EXPECT_TRUE(pulls.should_query_neighbours(s_own, s_start + PullSchedule::s_query_interval, 0ms));
+    EXPECT_FALSE(pulls.should_query_neighbours(s_own, s_start + PullSchedule::s_query_interval + 1ms, 0ms));
+    EXPECT_TRUE(pulls.should_query_neighbours(s_own, s_start + 2 * PullSchedule::s_query_interval, 0ms));
     // Here by now: there is nothing to ask for.
-    EXPECT_FALSE(pulls.should_ask(with_table(2), s_start + 1h, 0ms));
+    EXPECT_FALSE(pulls.should_query_neighbours(with_table(2), s_start + 1h, 0ms));
 }
 
 TEST(PullSchedule, WhoHearsThePlatformAsksAfterThePatience)
 {
     PullSchedule pulls;
-    pulls.note_wanted(with_table(2));
-    EXPECT_FALSE(pulls.should_ask(s_own, s_start, s_patience));
-    EXPECT_FALSE(pulls.should_ask(s_own, s_start + s_patience - 1ms, s_patience));
-    EXPECT_TRUE(pulls.should_ask(s_own, s_start + s_patience, s_patience));
+    pulls.note_newest_known(with_table(2));
+    EXPECT_FALSE(pulls.should_query_neighbours(s_own, s_start, s_patience));
+    EXPECT_FALSE(pulls.should_query_neighbours(s_own, s_start + s_patience - 1ms, s_patience));
+    EXPECT_TRUE(pulls.should_query_neighbours(s_own, s_start + s_patience, s_patience));
 }
 
 RC_GTEST_PROP(PullSchedule, IsNeverBehindForLongWhileAPeerAnnounces, ())
@@ -147,7 +147,7 @@
             static_cast<void>(pulls.next(s_own, now, s_patience));
     }
     bool has_pulled = false;
-    for (auto const end = now + s_patience + PullSchedule::s_answer_limit; now <= end; now += 10ms) {
+    for (auto const end = now + s_patience + PullSchedule::s_pull_timeout; now <= end; now += 10ms) {
         pulls.note_offer(peer(0), with_table(2));
         has_pulled = pulls.next(s_own, now, s_patience) || has_pulled;
     }
@@ -159,12 +159,12 @@
     // Any number of peers have announced once, in any order, and all but one fall silent: within an answer's limit for
     // each of them the one that answers has been asked, without another word of anybody.
     PullSchedule pulls;
-    auto const count = *rc::gen::inRange<std::size_t>(1, PullSchedule::s_most_offers);
+    auto const count = *rc::gen::inRange<std::size_t>(1, PullSchedule::s_max_offers);
     auto const sound = *rc::gen::inRange<std::size_t>(0, count);
     for (std::size_t number = 0; number < count; ++number)
         pulls.note_offer(peer(number), with_table(*rc::gen::inRange<std::uint64_t>(2, 9)));
     bool is_asked = false;
-    auto const end = s_start + PullSchedule::s_answer_limit * static_cast<std::int64_t>(count);
+    auto const end = s_start + PullSchedule::s_pull_timeout * static_cast<std::int64_t>(count);
     for (auto now = s_start; now <= end; now += 50ms)
         is_asked = pulls.next(s_own, now, 0ms) == peer(sound) || is_asked;
     RC_ASSERT(is_asked);
