--- a/Libraries/LibEntry/WatchDuty.cpp
+++ b/Libraries/LibEntry/WatchDuty.cpp
@@ -11,14 +11,14 @@
 /// Parts of the time within which a process that reaches the store counts on being in step with it. The first gateways
 /// step in after one of them, the last after two, so that some do when all watchers have died, and not all at once;
 /// what they learn is known to the others some 200 ms later.
-constexpr int s_patience_parts = 4;
+constexpr int s_silence_parts = 4;
 
 /// Parts of the promised time within which a change holds. Who is behind asks the store after one to two of them; two
 /// more are left for an answer of the store, and for a second call where the first one is lost.
 constexpr int s_behind_parts = 5;
 
 /// From once to twice that time, for each gateway another.
-Core::Milliseconds spread_of(Core::Milliseconds least, std::uint64_t order)
+Core::Milliseconds spread_over_gateways(Core::Milliseconds least, std::uint64_t order)
 {
     return least + Core::Milliseconds(static_cast<std::int64_t>(order % static_cast<std::uint64_t>(least.count() + 1)));
 }
@@ -28,8 +28,8 @@
 {
     using DrainsWatch = WatchElection::DrainsWatch;
     WatchElection::Settings settings;
-    settings.patience = spread_of(contact_time / s_patience_parts, order);
-    settings.behind_limit = spread_of(apply_limit / s_behind_parts, order);
+    settings.silence_timeout = spread_over_gateways(contact_time / s_silence_parts, order);
+    settings.behind_timeout = spread_over_gateways(apply_limit / s_behind_parts, order);
     settings.drains = drains == nullptr ? DrainsWatch::No : DrainsWatch::Yes;
     return settings;
 }
@@ -68,10 +68,10 @@
     m_election.note_versions(own, now);
 }
 
-void WatchDuty::note_joining(WatchElection::Others others, Core::MonotonicTime now)
+void WatchDuty::note_joining(WatchElection::PeerDiscovery discovery, Core::MonotonicTime now)
 {
     std::lock_guard const lock(m_mutex);
-    m_election.note_joining(others, now);
+    m_election.note_joining(discovery, now);
 }
 
 void WatchDuty::note_report(StoreReport const& report, Core::MonotonicTime now)
@@ -88,9 +88,9 @@
 {
     // They have worked out when to look from what was known then. Without this one that had learned just now that it is
     // behind looked up to half the contact time later.
-    if (m_election.next_look(now) >= m_next_look)
+    if (m_election.next_check(now) >= m_next_check)
         return;
-    m_next_look = Core::MonotonicTime::max();
+    m_next_check = Core::MonotonicTime::max();
     m_signal.notify_all();
 }
 
@@ -131,7 +131,7 @@
                     .add("elected", m_is_elected)
                     .add("reason", to_string(m_election.duty_reason()))
                     .add("silence_ms", m_election.silence(now))
-                    .add("lost_ms", m_election.lost_time()));
+                    .add("lost_ms", m_election.stalled_time()));
 }
 
 FollowerTurn WatchDuty::Follower::wait_for_turn()
@@ -147,10 +147,10 @@
         if (is_on_duty && !has_waited)
             return FollowerTurn::GoOn;
         if (is_on_duty)
-            return duty.m_election.is_store_in_doubt(now) ? FollowerTurn::ResumeInDoubt : FollowerTurn::Resume;
+            return duty.m_election.is_store_suspected(now) ? FollowerTurn::ResumeInDoubt : FollowerTurn::Resume;
         has_waited = true;
-        duty.m_next_look = duty.m_election.next_look(now);
-        duty.m_signal.wait_until(lock, duty.m_next_look);
+        duty.m_next_check = duty.m_election.next_check(now);
+        duty.m_signal.wait_until(lock, duty.m_next_check);
     }
     return FollowerTurn::Stop;
 }
--- a/Libraries/LibEntry/WatchDuty.h
+++ b/Libraries/LibEntry/WatchDuty.h
@@ -22,8 +22,8 @@
     /// Default of the time within which a change must be in force.
     static constexpr Core::Milliseconds s_apply_limit {3'000};
 
-    /// `order` differs between gateways and spreads their patience. `apply_limit` is the time within which a change
-    /// must be in force everywhere. `drains` is null if failure domains cannot be drained.
+    /// `order` differs between gateways and spreads their silence timeouts. `apply_limit` is the time within which a
+    /// change must be in force everywhere. `drains` is null if failure domains cannot be drained.
     WatchDuty(Core::Milliseconds contact_time, std::uint64_t order, SharedTable const&, SharedServers const&,
         Observe::EventLog&, Observe::MetricRegistry&, Core::Milliseconds apply_limit = s_apply_limit,
         SharedDrains const* drains = nullptr);
@@ -31,7 +31,7 @@
     /// Called with each tick of the peer exchange.
     void set_elected(bool);
     /// This gateway has just started, and the others may not know it yet.
-    void note_joining(WatchElection::Others, Core::MonotonicTime now);
+    void note_joining(WatchElection::PeerDiscovery, Core::MonotonicTime now);
     /// Takes a report of another gateway, and looks at the versions of this one. Called with each tick of the exchange
     /// of loads.
     void note_report(StoreReport const&, Core::MonotonicTime now);
@@ -85,7 +85,7 @@
     bool m_was_on_duty {false};
     bool m_is_stopped {false};
     /// When the followers that wait for their turn look next.
-    Core::MonotonicTime m_next_look {Core::MonotonicTime::max()};
+    Core::MonotonicTime m_next_check {Core::MonotonicTime::max()};
 };
 
 }
--- a/Libraries/LibEntry/WatchElection.cpp
+++ b/Libraries/LibEntry/WatchElection.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// Time until the next look while the thread that takes reports is late.
-constexpr Core::Milliseconds s_late_look {100};
+constexpr Core::Milliseconds s_late_check_interval {100};
 
 }
 
@@ -21,8 +21,8 @@
 
 void WatchElection::set_elected(bool value)
 {
-    if (value && !m_is_elected && !m_stepped_in)
-        begin_duty();
+    if (value && !m_is_elected && !m_took_over_at)
+        reset_contacts();
     m_is_elected = value;
 }
 
@@ -36,7 +36,7 @@
     m_silent_since = silent_since() + lost;
     // In a process whose ticks are all late, a new wait at each of them would never end.
     if (!was_late)
-        m_hears_until = now + s_shortest_hearing;
+        m_report_wait_end = now + s_min_report_wait;
     if (m_behind_since)
         *m_behind_since += lost;
     // An answer that has come is noted only when its thread runs.
@@ -44,11 +44,11 @@
         contact.overdue_at += lost;
 }
 
-void WatchElection::note_joining(Others others, Core::MonotonicTime now)
+void WatchElection::note_joining(PeerDiscovery discovery, Core::MonotonicTime now)
 {
     // Until the next tick, which may come late.
-    m_hears_until = std::max(m_hears_until, now + m_running.longest_gap());
-    if (others == Others::Found)
+    m_report_wait_end = std::max(m_report_wait_end, now + m_running.longest_gap());
+    if (discovery == PeerDiscovery::Found)
         m_silent_since = std::max(m_silent_since, now);
 }
 
@@ -84,7 +84,7 @@
 void WatchElection::note_answer(Watch watch)
 {
     m_contacts.at(static_cast<std::size_t>(watch)).is_answered = true;
-    m_next_retry = m_settings.shortest_retry;
+    m_retry_delay = m_settings.min_retry_delay;
 }
 
 void WatchElection::note_failure(Watch watch, Core::MonotonicTime now)
@@ -93,13 +93,13 @@
     if (m_is_elected)
         return;
     // Back off, so that not all gateways keep calling a store that does not answer.
-    m_stepped_in.reset();
+    m_took_over_at.reset();
     if (!is_behind()) {
-        m_next_try = now + m_settings.patience;
+        m_earliest_retry = now + m_settings.silence_timeout;
         return;
     }
-    m_next_try = now + m_next_retry;
-    m_next_retry = std::min(m_next_retry * 2, m_settings.patience);
+    m_earliest_retry = now + m_retry_delay;
+    m_retry_delay = std::min(m_retry_delay * 2, m_settings.silence_timeout);
 }
 
 bool WatchElection::is_watched(Watch watch) const
@@ -143,48 +143,48 @@
     return std::max(m_heard.any.value_or(m_silent_since), m_silent_since);
 }
 
-Core::Milliseconds WatchElection::patience() const
+Core::Milliseconds WatchElection::silence_timeout() const
 {
     // Where hosts run well, changes must be in force in time although all watchers are gone.
-    return m_running.is_slow() ? m_report_gaps.silence_limit(m_settings.patience) : m_settings.patience;
+    return m_running.is_slow() ? m_report_gaps.silence_limit(m_settings.silence_timeout) : m_settings.silence_timeout;
 }
 
-Core::MonotonicTime WatchElection::doubt_begins() const
+Core::MonotonicTime WatchElection::suspicion_time() const
 {
-    return std::max(silent_since() + patience(), m_hears_until);
+    return std::max(silent_since() + silence_timeout(), m_report_wait_end);
 }
 
-bool WatchElection::is_store_in_doubt(Core::MonotonicTime now) const
+bool WatchElection::is_store_suspected(Core::MonotonicTime now) const
 {
-    return now >= doubt_begins();
+    return now >= suspicion_time();
 }
 
-std::optional<Core::MonotonicTime> WatchElection::behind_ends() const
+std::optional<Core::MonotonicTime> WatchElection::behind_deadline() const
 {
     if (!m_behind_since)
         return std::nullopt;
-    return std::max(*m_behind_since + m_settings.behind_limit, m_hears_until);
+    return std::max(*m_behind_since + m_settings.behind_timeout, m_report_wait_end);
 }
 
 bool WatchElection::is_on_duty(Core::MonotonicTime now)
 {
     if (m_is_elected)
         return true;
-    auto const behind_ends_at = behind_ends();
-    bool const is_behind = behind_ends_at && now >= *behind_ends_at;
-    if (m_stepped_in) {
-        bool const is_relieved = m_heard.elected && Core::elapsed(*m_heard.elected, now) <= s_fresh && !is_behind
-            && Core::elapsed(*m_stepped_in, now) >= s_shortest_duty;
+    auto const read_time = behind_deadline();
+    bool const is_behind = read_time && now >= *read_time;
+    if (m_took_over_at) {
+        bool const is_relieved = m_heard.elected && Core::elapsed(*m_heard.elected, now) <= s_max_report_age
+            && !is_behind && Core::elapsed(*m_took_over_at, now) >= s_min_duty_time;
         if (is_relieved)
-            m_stepped_in.reset();
+            m_took_over_at.reset();
         return !is_relieved;
     }
     // Reports may have arrived that the late thread has yet to take.
-    if (m_running.is_late(now) || now < m_next_try || (!is_behind && !is_store_in_doubt(now)))
+    if (m_running.is_late(now) || now < m_earliest_retry || (!is_behind && !is_store_suspected(now)))
         return false;
-    m_stepped_in = now;
-    m_stepped_in_for = is_behind ? DutyReason::Behind : DutyReason::Silence;
-    begin_duty();
+    m_took_over_at = now;
+    m_takeover_reason = is_behind ? DutyReason::Behind : DutyReason::Silence;
+    reset_contacts();
     return true;
 }
 
@@ -192,7 +192,7 @@
 {
     if (m_is_elected)
         return DutyReason::Elected;
-    return m_stepped_in ? m_stepped_in_for : DutyReason::None;
+    return m_took_over_at ? m_takeover_reason : DutyReason::None;
 }
 
 char const* to_string(WatchElection::DutyReason reason)
@@ -211,13 +211,13 @@
     return "unknown";
 }
 
-Core::MonotonicTime WatchElection::next_look(Core::MonotonicTime now) const
+Core::MonotonicTime WatchElection::next_check(Core::MonotonicTime now) const
 {
-    auto next = doubt_begins();
-    if (auto const behind = behind_ends())
+    auto next = suspicion_time();
+    if (auto const behind = behind_deadline())
         next = std::min(next, *behind);
-    auto const soonest = m_running.is_late(now) ? now + s_late_look : now;
-    return std::max({next, m_next_try, soonest});
+    auto const soonest = m_running.is_late(now) ? now + s_late_check_interval : now;
+    return std::max({next, m_earliest_retry, soonest});
 }
 
 }
--- a/Libraries/LibEntry/WatchElection.h
+++ b/Libraries/LibEntry/WatchElection.h
@@ -67,23 +67,23 @@
 
     struct Settings {
         /// Time without a report of a healthy watch after which this gateway watches the store itself.
-        Core::Milliseconds patience {1'000};
+        Core::Milliseconds silence_timeout {1'000};
         /// Time after which a newer version that peers know of and that was not received is read from the store. Peers
         /// forward it within some 500 ms; reading it at every gateway would only delay that.
-        Core::Milliseconds behind_limit {700};
+        Core::Milliseconds behind_timeout {700};
         /// First delay after a failed call of a gateway that is behind. It doubles with each failure, up to the
-        /// patience.
-        Core::Milliseconds shortest_retry {100};
+        /// silence timeout.
+        Core::Milliseconds min_retry_delay {100};
         /// Whether drains are watched.
         DrainsWatch drains {DrainsWatch::No};
     };
 
     /// Shortest time for which a gateway that was not elected watches. Hysteresis against frequent changes.
-    static constexpr Core::Milliseconds s_shortest_duty {1'000};
+    static constexpr Core::Milliseconds s_min_duty_time {1'000};
     /// Age of a report of an elected watcher up to which the watcher counts as healthy.
-    static constexpr Core::Milliseconds s_fresh {400};
+    static constexpr Core::Milliseconds s_max_report_age {400};
     /// Time to wait for reports after a stall of this process: three intervals of the exchange of loads.
-    static constexpr Core::Milliseconds s_shortest_hearing {400};
+    static constexpr Core::Milliseconds s_min_report_wait {400};
 
     WatchElection(Settings settings, Core::MonotonicTime begun)
         : m_settings(settings)
@@ -98,14 +98,14 @@
     /// is not counted: otherwise all gateways of a stalled or overloaded host would start to watch.
     void note_tick(Core::MonotonicTime now);
 
-    enum class Others {
+    enum class PeerDiscovery {
         NotFound,
         Found,
     };
 
     /// Records, with each tick, that this gateway has just started and that the others may not know it yet. It does not
     /// watch the store meanwhile, and the silence of others that it has found begins afterwards.
-    void note_joining(Others, Core::MonotonicTime now);
+    void note_joining(PeerDiscovery, Core::MonotonicTime now);
     /// Takes a report of another gateway.
     void note_report(StoreReport const&, Core::MonotonicTime now);
     /// Records the versions that this gateway has.
@@ -132,12 +132,12 @@
     {
         return Core::elapsed(silent_since(), now);
     }
-    /// Whether no healthy watch was reported for the patience: the store itself may be unavailable.
-    [[nodiscard]] bool is_store_in_doubt(Core::MonotonicTime now) const;
+    /// Whether no healthy watch was reported for the silence timeout: the store itself may be unavailable.
+    [[nodiscard]] bool is_store_suspected(Core::MonotonicTime now) const;
     /// Time in which the thread that takes reports did not run.
-    [[nodiscard]] Core::Milliseconds lost_time() const { return m_running.lost(); }
+    [[nodiscard]] Core::Milliseconds stalled_time() const { return m_running.lost(); }
     /// Earliest time at which is_on_duty() may change without new input.
-    [[nodiscard]] Core::MonotonicTime next_look(Core::MonotonicTime now) const;
+    [[nodiscard]] Core::MonotonicTime next_check(Core::MonotonicTime now) const;
 
 private:
     struct Contact {
@@ -149,18 +149,18 @@
     /// Time of the last report of a healthy watch, moved forward by the time in which this process did not run.
     [[nodiscard]] Core::MonotonicTime silent_since() const;
     /// Time without a report of a healthy watch after which this gateway watches the store.
-    [[nodiscard]] Core::Milliseconds patience() const;
-    [[nodiscard]] Core::MonotonicTime doubt_begins() const;
-    [[nodiscard]] std::optional<Core::MonotonicTime> behind_ends() const;
+    [[nodiscard]] Core::Milliseconds silence_timeout() const;
+    [[nodiscard]] Core::MonotonicTime suspicion_time() const;
+    [[nodiscard]] std::optional<Core::MonotonicTime> behind_deadline() const;
     /// Forgets the calls of an earlier time on duty.
-    void begin_duty() { m_contacts = {}; }
+    void reset_contacts() { m_contacts = {}; }
 
     Settings m_settings;
     bool m_is_elected {false};
     /// The same before the first report, and after lost time until the next one.
     Core::MonotonicTime m_silent_since;
     /// End of the wait for reports after a stall.
-    Core::MonotonicTime m_hears_until;
+    Core::MonotonicTime m_report_wait_end;
     StoreReport m_heard;
     Core::RunningTime m_running;
     /// Gaps between reports of healthy watches.
@@ -173,11 +173,11 @@
     StateVersions m_wanted;
     std::array<Contact, s_watch_count> m_contacts;
     /// When this gateway started to watch without being elected.
-    std::optional<Core::MonotonicTime> m_stepped_in;
-    DutyReason m_stepped_in_for {DutyReason::None};
+    std::optional<Core::MonotonicTime> m_took_over_at;
+    DutyReason m_takeover_reason {DutyReason::None};
     /// Earliest time of the next call after a failed one, for a gateway that is not elected.
-    Core::MonotonicTime m_next_try;
-    Core::Milliseconds m_next_retry {m_settings.shortest_retry};
+    Core::MonotonicTime m_earliest_retry;
+    Core::Milliseconds m_retry_delay {m_settings.min_retry_delay};
 };
 
 [[nodiscard]] char const* to_string(WatchElection::DutyReason);
--- a/Libraries/LibGateway/LoadExchange.cpp
+++ b/Libraries/LibGateway/LoadExchange.cpp
@@ -77,9 +77,9 @@
         m_members = std::move(members);
         m_endpoints.clear();
     }
-    using Others = Entry::WatchElection::Others;
+    using PeerDiscovery = Entry::WatchElection::PeerDiscovery;
     if (m_sharing.is_joining(now))
-        m_duty.note_joining(m_membership.has_found_peers ? Others::Found : Others::NotFound, now);
+        m_duty.note_joining(m_membership.has_found_peers ? PeerDiscovery::Found : PeerDiscovery::NotFound, now);
     m_duty.note_report(m_sharing.take_store_report(), now);
     m_sharing.set_store_report(m_duty.report(now));
     auto const own_clock = std::chrono::floor<Core::Milliseconds>(std::chrono::system_clock::now());
--- a/Tests/LibEntry/WatchElectionTest.cpp
+++ b/Tests/LibEntry/WatchElectionTest.cpp
@@ -39,11 +39,11 @@
 
 /// The process joins the others, and does not watch the store meanwhile.
 void join_for(
-    Core::Milliseconds duration, WatchElection& election, Core::MonotonicTime& now, WatchElection::Others others)
+    Core::Milliseconds duration, WatchElection& election, Core::MonotonicTime& now, WatchElection::PeerDiscovery others)
 {
     for (auto const end = now + duration; now < end; now += 100ms) {
         election.note_tick(now);
-        election.note_joining(others, now);
+        election.note_joining(discovery, now);
         EXPECT_FALSE(election.is_on_duty(now));
     }
 }
@@ -71,7 +71,7 @@
         election.note_tick(now);
         election.note_report(report_of_elected(now), now);
         EXPECT_FALSE(election.is_on_duty(now));
-        EXPECT_GT(election.next_look(now), now);
+        EXPECT_GT(election.next_check(now), now);
     }
 }
 
@@ -79,11 +79,11 @@
 {
     auto election = make_election();
     election.note_report(report_of_elected(s_start), s_start);
-    EXPECT_EQ(election.next_look(s_start), s_start + s_patience);
+    EXPECT_EQ(election.next_check(s_start), s_start + s_patience);
     auto now = s_start;
     run_until(election, now, s_start + s_patience - 1ms);
     EXPECT_FALSE(election.is_on_duty(now));
-    EXPECT_TRUE(election.is_store_in_doubt(s_start + s_patience));
+    EXPECT_TRUE(election.is_store_suspected(s_start + s_patience));
     EXPECT_TRUE(election.is_on_duty(s_start + s_patience));
     // Its own report tells the others not to.
     EXPECT_FALSE(election.report(s_start + s_patience).any > s_start);
@@ -99,7 +99,7 @@
     run_until(election, now, s_start + s_patience);
     ASSERT_TRUE(election.is_on_duty(now));
     // The report of others who stepped in as well, its own among them, relieves nobody.
-    run_until(election, now, now + WatchElection::s_shortest_duty);
+    run_until(election, now, now + WatchElection::s_min_duty_time);
     election.note_report({std::nullopt, now, {}}, now);
     EXPECT_TRUE(election.is_on_duty(now));
     election.note_report(report_of_elected(now), now);
@@ -113,7 +113,7 @@
     auto report = report_of_elected(now);
     report.versions.table = Core::TableVersion(5);
     election.note_report(report, now);
-    for (; now < s_start + WatchElection::Settings().behind_limit; now += 50ms) {
+    for (; now < s_start + WatchElection::Settings().behind_timeout; now += 50ms) {
         election.note_tick(now);
         election.note_report(report_of_elected(now), now);
         EXPECT_FALSE(election.is_on_duty(now));
@@ -121,7 +121,7 @@
     election.note_report(report_of_elected(now), now);
     EXPECT_TRUE(election.is_on_duty(now));
     // Once it has it, the elected ones suffice again.
-    run_until(election, now, now + WatchElection::s_shortest_duty);
+    run_until(election, now, now + WatchElection::s_min_duty_time);
     election.note_report(report_of_elected(now), now);
     EXPECT_TRUE(election.is_on_duty(now));
     election.note_versions({Core::TableVersion(5), {}, {}}, now);
@@ -218,7 +218,7 @@
 {
     auto election = make_election();
     auto now = s_start;
-    join_for(2 * s_patience, election, now, WatchElection::Others::Found);
+    join_for(2 * s_patience, election, now, WatchElection::PeerDiscovery::Found);
     auto const joined = now - 100ms;
     run_until(election, now, joined + s_patience - 1ms);
     EXPECT_FALSE(election.is_on_duty(now));
@@ -233,7 +233,7 @@
     auto now = s_start;
     for (; now < s_start + 2 * s_patience; now += 250ms) {
         election.note_tick(now);
-        election.note_joining(WatchElection::Others::NotFound, now);
+        election.note_joining(WatchElection::PeerDiscovery::NotFound, now);
         EXPECT_FALSE(election.is_on_duty(now + 240ms));
     }
 }
@@ -242,7 +242,7 @@
 {
     auto election = make_election();
     auto now = s_start;
-    join_for(2 * s_patience, election, now, WatchElection::Others::NotFound);
+    join_for(2 * s_patience, election, now, WatchElection::PeerDiscovery::NotFound);
     run_until(election, now, now + 250ms);
     EXPECT_TRUE(election.is_on_duty(now));
 }
