--- a/Libraries/LibEntry/WatchElection.cpp
+++ b/Libraries/LibEntry/WatchElection.cpp
@@ -14,8 +14,8 @@
 void StoreReport::merge(StoreReport const& other)
 {
     // An absent time compares as earlier than any other.
-    elected = std::max(elected, other.elected);
-    any = std::max({any, other.any, other.elected});
+    elected_healthy_at = std::max(elected_healthy_at, other.elected_healthy_at);
+    any_healthy_at = std::max({any_healthy_at, other.any_healthy_at, other.elected_healthy_at});
     versions.merge(other.versions);
 }
 
@@ -56,8 +56,8 @@
 {
     if (report.versions.table > std::max(m_heard.versions.table, m_own.table))
         m_table_known_since = now;
-    if (report.any && m_heard.any)
-        m_report_gaps.note(Core::elapsed(*m_heard.any, *report.any));
+    if (report.any_healthy_at && m_heard.any_healthy_at)
+        m_report_gaps.note(Core::elapsed(*m_heard.any_healthy_at, *report.any_healthy_at));
     m_heard.merge(report);
     if (!m_heard.versions.is_ahead_of(m_own) || m_behind_since)
         return;
@@ -120,7 +120,7 @@
 
 StoreKnowledge WatchElection::knowledge(Core::MonotonicTime now) const
 {
-    auto const heard = is_healthy(now) ? std::optional(now) : m_heard.any;
+    auto const heard = is_healthy(now) ? std::optional(now) : m_heard.any_healthy_at;
     auto versions = m_own;
     versions.merge(m_heard.versions);
     return {versions, m_table_known_since, heard};
@@ -132,15 +132,15 @@
     report.versions.merge(m_own);
     if (!is_healthy(now))
         return report;
-    report.any = now;
+    report.any_healthy_at = now;
     if (m_is_elected)
-        report.elected = now;
+        report.elected_healthy_at = now;
     return report;
 }
 
 Core::MonotonicTime WatchElection::silent_since() const
 {
-    return std::max(m_heard.any.value_or(m_silent_since), m_silent_since);
+    return std::max(m_heard.any_healthy_at.value_or(m_silent_since), m_silent_since);
 }
 
 Core::Milliseconds WatchElection::silence_timeout() const
@@ -173,8 +173,9 @@
     auto const read_time = behind_deadline();
     bool const is_behind = read_time && now >= *read_time;
     if (m_took_over_at) {
-        bool const is_relieved = m_heard.elected && Core::elapsed(*m_heard.elected, now) <= s_max_report_age
-            && !is_behind && Core::elapsed(*m_took_over_at, now) >= s_min_duty_time;
+        bool const is_relieved = m_heard.elected_healthy_at
+            && Core::elapsed(*m_heard.elected_healthy_at, now) <= s_max_report_age && !is_behind
+            && Core::elapsed(*m_took_over_at, now) >= s_min_duty_time;
         if (is_relieved)
             m_took_over_at.reset();
         return !is_relieved;
--- a/Libraries/LibEntry/WatchElection.h
+++ b/Libraries/LibEntry/WatchElection.h
@@ -14,9 +14,9 @@
 /// What gateways report to each other about the platform's store.
 struct StoreReport {
     /// Time of the last known report of an elected gateway with a healthy watch.
-    std::optional<Core::MonotonicTime> elected;
+    std::optional<Core::MonotonicTime> elected_healthy_at;
     /// The same for any gateway with a healthy watch.
-    std::optional<Core::MonotonicTime> any;
+    std::optional<Core::MonotonicTime> any_healthy_at;
     /// The newest versions known to any gateway.
     StateVersions versions;
 
@@ -31,7 +31,7 @@
     /// When this gateway first received a report of that table.
     std::optional<Core::MonotonicTime> table_known_since;
     /// Time of the last report of a healthy watch, this gateway's included.
-    std::optional<Core::MonotonicTime> heard;
+    std::optional<Core::MonotonicTime> last_healthy_at;
 };
 
 /// Decides whether this gateway watches the platform's store. Only a few gateways in each failure domain are elected to
--- a/Libraries/LibGateway/GatewayServer.cpp
+++ b/Libraries/LibGateway/GatewayServer.cpp
@@ -239,14 +239,15 @@
     m_metrics.note_end(0, error.outcome, error.code);
     auto const now = Core::monotonic_now();
     auto const known = m_duty.knowledge(now);
-    m_log.write(Observe::LogEvent("refused")
-                    .add("request", id)
-                    .add("status", error.status)
-                    .add("reason", error.code)
-                    .add("table", m_table ? m_table->version().value() : 0)
-                    .add("table_age_ms", Core::elapsed(m_table_since, now))
-                    .add("newest_known", known.versions.table.value())
-                    .add("store_heard_ms", known.heard ? Core::elapsed(*known.heard, now).count() : -1));
+    m_log.write(
+        Observe::LogEvent("refused")
+            .add("request", id)
+            .add("status", error.status)
+            .add("reason", error.code)
+            .add("table", m_table ? m_table->version().value() : 0)
+            .add("table_age_ms", Core::elapsed(m_table_since, now))
+            .add("newest_known", known.versions.table.value())
+            .add("store_heard_ms", known.last_healthy_at ? Core::elapsed(*known.last_healthy_at, now).count() : -1));
     give_own_answer(caller, error, id, m_settings.dialect);
 }
 
--- a/Libraries/LibGateway/LoadSharing.cpp
+++ b/Libraries/LibGateway/LoadSharing.cpp
@@ -58,9 +58,9 @@
 
 void write_report(granitefield::protocol::StoreWord& message, Entry::StoreReport const& report, Core::MonotonicTime now)
 {
-    if (auto const age = age_of(report.elected, now))
+    if (auto const age = age_of(report.elected_healthy_at, now))
         message.set_elected_age_ms(*age);
-    if (auto const age = age_of(report.any, now))
+    if (auto const age = age_of(report.any_healthy_at, now))
         message.set_any_age_ms(*age);
     message.set_table_version(report.versions.table.value());
     message.set_servers_revision(report.versions.servers.value());
@@ -71,9 +71,9 @@
 {
     Entry::StoreReport report;
     if (message.has_elected_age_ms())
-        report.elected = arrived - Core::Milliseconds(message.elected_age_ms());
+        report.elected_healthy_at = arrived - Core::Milliseconds(message.elected_age_ms());
     if (message.has_any_age_ms())
-        report.any = arrived - Core::Milliseconds(message.any_age_ms());
+        report.any_healthy_at = arrived - Core::Milliseconds(message.any_age_ms());
     report.versions = {Core::TableVersion(message.table_version()), Entry::DrainsVersion(message.drains_version()),
         Entry::ListRevision(message.servers_revision())};
     return report;
--- a/Tests/LibEntry/WatchElectionTest.cpp
+++ b/Tests/LibEntry/WatchElectionTest.cpp
@@ -86,10 +86,10 @@
     EXPECT_TRUE(election.is_store_suspected(s_start + s_patience));
     EXPECT_TRUE(election.is_on_duty(s_start + s_patience));
     // Its own report tells the others not to.
-    EXPECT_FALSE(election.report(s_start + s_patience).any > s_start);
+    EXPECT_FALSE(election.report(s_start + s_patience).any_healthy_at > s_start);
     watch_soundly(election, s_start + s_patience);
-    EXPECT_EQ(election.report(s_start + s_patience).any, s_start + s_patience);
-    EXPECT_EQ(election.report(s_start + s_patience).elected, s_start);
+    EXPECT_EQ(election.report(s_start + s_patience).any_healthy_at, s_start + s_patience);
+    EXPECT_EQ(election.report(s_start + s_patience).elected_healthy_at, s_start);
 }
 
 TEST(WatchElection, WhoSteppedInLeavesWhenAnElectedOneIsBack)
