--- a/Libraries/LibEntry/PeerMessages.cpp
+++ b/Libraries/LibEntry/PeerMessages.cpp
@@ -140,7 +140,7 @@
         auto const cold = std::max(Core::Milliseconds(0), Core::elapsed(now, server.cold_until));
         record.set_cold_ms(static_cast<std::uint32_t>(cold.count()));
     }
-    for (auto const& instance : changes.gone)
+    for (auto const& instance : changes.removed)
         records.add_gone(instance);
     Message::ServersUpdate update;
     update.set_from_revision(changes.from.value());
@@ -159,7 +159,7 @@
     changes.from = ListRevision(update.from_revision());
     changes.to = ListRevision(update.revision());
     changes.digest = update.digest();
-    changes.gone.assign(records.gone().begin(), records.gone().end());
+    changes.removed.assign(records.gone().begin(), records.gone().end());
     for (auto const& record : records.servers()) {
         auto const address = Core::Address::from_string(record.address());
         if (!address)
--- a/Libraries/LibEntry/ServerChanges.cpp
+++ b/Libraries/LibEntry/ServerChanges.cpp
@@ -59,7 +59,7 @@
         before.erase(found);
     }
     for (auto const& [instance, server] : before)
-        changes.gone.emplace_back(instance);
+        changes.removed.emplace_back(instance);
     return changes;
 }
 
@@ -68,7 +68,7 @@
     bool const is_whole = changes.from == ListRevision();
     if (!is_whole && (!current || current->revision != changes.from))
         return std::nullopt;
-    std::set<std::string_view> replaced(changes.gone.begin(), changes.gone.end());
+    std::set<std::string_view> replaced(changes.removed.begin(), changes.removed.end());
     for (auto const& server : changes.changed)
         replaced.insert(server.instance);
     ServerList list;
@@ -109,7 +109,7 @@
 void ServerHistory::add_step(ServerChanges changes)
 {
     m_steps.push_back(std::move(changes));
-    if (m_steps.size() > s_largest_step_count)
+    if (m_steps.size() > s_max_steps)
         m_steps.pop_front();
 }
 
@@ -123,7 +123,7 @@
     for (; step != m_steps.end(); ++step) {
         for (auto const& server : step->changed)
             last[server.instance] = &server;
-        for (auto const& instance : step->gone)
+        for (auto const& instance : step->removed)
             last[instance] = nullptr;
     }
     ServerChanges changes;
@@ -134,7 +134,7 @@
         if (server != nullptr)
             changes.changed.push_back(*server);
         else
-            changes.gone.push_back(instance);
+            changes.removed.push_back(instance);
     }
     return changes;
 }
--- a/Libraries/LibEntry/ServerChanges.h
+++ b/Libraries/LibEntry/ServerChanges.h
@@ -20,7 +20,7 @@
     /// Servers that are new, or described otherwise.
     std::vector<ServerEntry> changed;
     /// Instances of servers that are gone.
-    std::vector<std::string> gone;
+    std::vector<std::string> removed;
     /// Of the list that they lead to.
     std::uint64_t digest {0};
 };
@@ -40,7 +40,7 @@
 /// alone: whole lists cost bytes by gateways, times servers, times changes, which all grow with the fleet.
 class ServerHistory {
 public:
-    static constexpr std::size_t s_largest_step_count = 64;
+    static constexpr std::size_t s_max_steps = 64;
 
     /// Notes the list that is known now.
     void note(std::shared_ptr<ServerList const>);
--- a/Libraries/LibEntry/TableHistory.h
+++ b/Libraries/LibEntry/TableHistory.h
@@ -12,7 +12,7 @@
 /// The latest steps of the table, so that a peer that is a few versions behind gets the edits alone.
 class TableHistory {
 public:
-    static constexpr std::size_t s_largest_step_count = 64;
+    static constexpr std::size_t s_max_steps = 64;
 
     /// Notes the table that is in force now.
     void note(std::shared_ptr<Table::Table const> table)
@@ -59,7 +59,7 @@
     void add_step(Table::Change edits)
     {
         m_steps.push_back({m_current->version(), std::move(edits)});
-        if (m_steps.size() > s_largest_step_count)
+        if (m_steps.size() > s_max_steps)
             m_steps.pop_front();
     }
 
