--- a/Libraries/LibEntry/HostFollower.cpp
+++ b/Libraries/LibEntry/HostFollower.cpp
@@ -17,7 +17,7 @@
     , m_on_news(std::move(on_news))
     , m_metrics(metrics)
     , m_client(settings.address, settings.call_timeout)
-    , m_backoff(settings.shortest_pause, settings.longest_pause)
+    , m_backoff(settings.min_retry_delay, settings.max_retry_delay)
     , m_thread([this] { run(); })
 {
 }
--- a/Libraries/LibEntry/PlatformSettings.h
+++ b/Libraries/LibEntry/PlatformSettings.h
@@ -21,8 +21,8 @@
     /// Within which a failure domain that is drained is promised to get nothing new; nothing where none can be.
     std::optional<Core::Milliseconds> drain_limit;
     /// Between tries while the platform does not answer.
-    Core::Milliseconds shortest_pause {100};
-    Core::Milliseconds longest_pause {5'000};
+    Core::Milliseconds min_retry_delay {100};
+    Core::Milliseconds max_retry_delay {5'000};
     /// How often the host list is read.
     Core::Milliseconds host_interval {1'000};
     /// How often an entry that does not watch looks whether it should.
--- a/Libraries/LibEntry/TableFollower.cpp
+++ b/Libraries/LibEntry/TableFollower.cpp
@@ -14,7 +14,7 @@
     , m_metrics(metrics)
     , m_client(settings.address, settings.call_timeout)
     , m_store(m_client)
-    , m_backoff(settings.shortest_pause, settings.longest_pause)
+    , m_backoff(settings.min_retry_delay, settings.max_retry_delay)
     , m_thread([this] { run(); })
 {
 }
--- a/Libraries/LibSettings/DaemonSettings.cpp
+++ b/Libraries/LibSettings/DaemonSettings.cpp
@@ -79,7 +79,7 @@
         reader.read("apply-limit", platform.apply_limit.emplace(), 100ms, 10min);
     if (reader.member("domain-drain-limit") != nullptr)
         reader.read("domain-drain-limit", platform.drain_limit.emplace(), 100ms, 10min);
-    reader.read("longest-pause", platform.longest_pause, 100ms, 10min);
+    reader.read("longest-pause", platform.max_retry_delay, 100ms, 10min);
     reader.read("host-interval", platform.host_interval, 50ms, 10min);
     reader.finish();
 }
--- a/Services/GraniteFieldD/GatewayDaemon.cpp
+++ b/Services/GraniteFieldD/GatewayDaemon.cpp
@@ -55,8 +55,8 @@
     settings.store = platform.address;
     settings.call_timeout = platform.call_timeout;
     settings.watch_wait = watch_wait(platform);
-    settings.shortest_pause = platform.shortest_pause;
-    settings.longest_pause = platform.longest_pause;
+    settings.shortest_pause = platform.min_retry_delay;
+    settings.longest_pause = platform.max_retry_delay;
     return settings;
 }
 
