--- a/Libraries/LibGateway/GatewayServer.cpp
+++ b/Libraries/LibGateway/GatewayServer.cpp
@@ -163,18 +163,18 @@
     std::shared_ptr<CallerConnection> caller, HTTP::RequestHead head, std::string body, Core::MonotonicTime received)
 {
     follow();
-    if (keep_for_table(caller, head, body, received))
+    if (defer_until_table(caller, head, body, received))
         return;
     std::string const id(head.fields.value_or(m_settings.dialect.request_id, ""));
     // Reading takes the request apart; one that may have to be read again is kept.
-    std::optional<EarlyRequest> kept;
+    std::optional<DeferredRequest> kept;
     if (is_behind())
-        kept.emplace(EarlyRequest {caller, head, body, received, waits_until(head, received)});
+        kept.emplace(DeferredRequest {caller, head, body, received, deferral_deadline(head, received)});
     auto read = read_call(std::move(head), std::move(body), m_table, m_settings.dialect, received);
     if (auto const* error = std::get_if<Entry::ErrorAnswer>(&read)) {
         if (!kept || !speaks_of_table(*error))
             return refuse(*caller, id, *error);
-        if (keep_for_newer_table(*std::move(kept)))
+        if (defer_until_newer_table(*std::move(kept)))
             return;
         return refuse(*caller, id,
             {503, "table_outdated", "this gateway does not have the newest table", Entry::Outcome::NotRun,
@@ -188,24 +188,24 @@
     begun.begin(now);
 }
 
-bool GatewayServer::keep_for_table(std::shared_ptr<CallerConnection> const& caller, HTTP::RequestHead& head,
+bool GatewayServer::defer_until_table(std::shared_ptr<CallerConnection> const& caller, HTTP::RequestHead& head,
     std::string& body, Core::MonotonicTime received)
 {
     auto const now = Core::monotonic_now();
-    if (m_table || m_drain_begun || m_early_requests.is_full())
+    if (m_table || m_drain_begun || m_deferred_requests.is_full())
         return false;
-    auto const until = waits_until(head, received);
-    if (now >= until)
+    auto const deadline = deferral_deadline(head, received);
+    if (now >= deadline)
         return false;
-    m_early_requests.add({caller, std::move(head), std::move(body), received, until});
+    m_deferred_requests.add({caller, std::move(head), std::move(body), received, deadline});
     schedule_tick();
     return true;
 }
 
-Core::MonotonicTime GatewayServer::waits_until(HTTP::RequestHead const& head, Core::MonotonicTime received) const
+Core::MonotonicTime GatewayServer::deferral_deadline(HTTP::RequestHead const& head, Core::MonotonicTime received) const
 {
-    auto const patience = read_patience(head, m_settings.dialect);
-    return received + EarlyRequests::wait_of(patience.value_or(EarlyRequests::s_longest_wait * 4));
+    auto const caller_timeout = read_patience(head, m_settings.dialect);
+    return received + DeferredRequests::wait_limit(caller_timeout.value_or(DeferredRequests::s_max_wait * 4));
 }
 
 bool GatewayServer::is_behind() const
@@ -213,24 +213,24 @@
     return m_table != nullptr && m_duty.knowledge(Core::monotonic_now()).versions.table > m_table->version();
 }
 
-bool GatewayServer::keep_for_newer_table(EarlyRequest request)
+bool GatewayServer::defer_until_newer_table(DeferredRequest request)
 {
-    if (m_drain_begun || m_early_requests.is_full() || Core::monotonic_now() >= request.waits_until)
+    if (m_drain_begun || m_deferred_requests.is_full() || Core::monotonic_now() >= request.deadline)
         return false;
-    m_early_requests.add(std::move(request));
+    m_deferred_requests.add(std::move(request));
     schedule_tick();
     return true;
 }
 
-void GatewayServer::begin_early_requests()
+void GatewayServer::start_deferred_requests()
 {
-    for (auto& request : m_early_requests.take_all())
+    for (auto& request : m_deferred_requests.take_all())
         begin_run(std::move(request.caller), std::move(request.head), std::move(request.body), request.received);
 }
 
-void GatewayServer::refuse_early_requests(Core::MonotonicTime now)
+void GatewayServer::start_expired_requests(Core::MonotonicTime now)
 {
-    for (auto& request : m_early_requests.take_expired(now))
+    for (auto& request : m_deferred_requests.take_expired(now))
         begin_run(std::move(request.caller), std::move(request.head), std::move(request.body), request.received);
 }
 
@@ -303,8 +303,8 @@
     if (m_shared_drains != nullptr && m_shared_drains->version() != m_fleet.drains().version)
         m_fleet.follow(m_shared_drains->current(), Core::monotonic_now());
     bool const has_become_ready = update_readiness() && m_is_ready;
-    if (m_is_ready && (has_new_table || has_become_ready) && !m_early_requests.is_empty())
-        begin_early_requests();
+    if (m_is_ready && (has_new_table || has_become_ready) && !m_deferred_requests.is_empty())
+        start_deferred_requests();
 }
 
 Core::Milliseconds GatewayServer::table_delay(Core::TableVersion version) const
@@ -339,7 +339,7 @@
 
 void GatewayServer::schedule_tick()
 {
-    bool const is_idle = m_runs.empty() && m_early_requests.is_empty();
+    bool const is_idle = m_runs.empty() && m_deferred_requests.is_empty();
     m_timer.expires_after(is_idle ? s_idle_tick_interval : s_tick_interval);
     m_timer.async_wait([this](auto const& error) {
         if (error)
@@ -364,7 +364,7 @@
     tick_runs(now);
     if (m_context.usage != nullptr)
         m_context.unseen_runs.settle(*m_context.usage, now);
-    refuse_early_requests(now);
+    start_expired_requests(now);
     m_context.held_bytes = 0;
     for (auto const& connection : m_connections) {
         connection->tick(now);
--- a/Libraries/LibGateway/GatewayServer.h
+++ b/Libraries/LibGateway/GatewayServer.h
@@ -6,7 +6,7 @@
 #include <LibEntry/SharedMembership.h>
 #include <LibEntry/SharedServers.h>
 #include <LibEntry/SharedTable.h>
-#include <LibGateway/EarlyRequests.h>
+#include <LibGateway/DeferredRequests.h>
 #include <LibGateway/GatewayRun.h>
 
 #include <atomic>
@@ -82,17 +82,17 @@
     void begin_run(
         std::shared_ptr<CallerConnection>, HTTP::RequestHead, std::string body, Core::MonotonicTime received);
     /// Keeps a request that can't be read without a table; says whether it does.
-    [[nodiscard]] bool keep_for_table(
+    [[nodiscard]] bool defer_until_table(
         std::shared_ptr<CallerConnection> const&, HTTP::RequestHead&, std::string& body, Core::MonotonicTime received);
     /// Until when a request waits for a table.
-    [[nodiscard]] Core::MonotonicTime waits_until(HTTP::RequestHead const&, Core::MonotonicTime received) const;
+    [[nodiscard]] Core::MonotonicTime deferral_deadline(HTTP::RequestHead const&, Core::MonotonicTime received) const;
     /// Keeps a request that the table in force does not allow, if a newer one is known to be somewhere; says whether it
     /// does.
-    [[nodiscard]] bool keep_for_newer_table(EarlyRequest);
+    [[nodiscard]] bool defer_until_newer_table(DeferredRequest);
     /// Whether a newer table is known to be somewhere.
     [[nodiscard]] bool is_behind() const;
-    void begin_early_requests();
-    void refuse_early_requests(Core::MonotonicTime now);
+    void start_deferred_requests();
+    void start_expired_requests(Core::MonotonicTime now);
     void follow();
     void follow_members();
     void schedule_tick();
@@ -134,7 +134,7 @@
     boost::asio::steady_timer m_timer;
     std::list<std::shared_ptr<CallerConnection>> m_connections;
     std::list<std::unique_ptr<GatewayRun>> m_runs;
-    EarlyRequests m_early_requests;
+    DeferredRequests m_deferred_requests;
     std::shared_ptr<Table::Table const> m_table;
     /// Since when the table is in force here; the process's start before the first one.
     Core::MonotonicTime m_table_since {Core::monotonic_now()};
--- a/Meta/deliberate-breaks.sh
+++ b/Meta/deliberate-breaks.sh
@@ -51,7 +51,7 @@
     '38|Libraries/LibPolicy/FleetRetryBudget.h|s/if (earned() >= 1)/if (earned() >= 1 \&\& slice.spent == 0)/|GatewayPropertiesTest|*AWindowEarned*'
     '39|Libraries/LibGateway/SuspicionLedger.cpp|s/if (breaks.size() < s_breaks_to_suspect)/if (breaks.size() < 100 * s_breaks_to_suspect)/|LoadSharingTest|*StreamsBreakTogether*'
     '40|Libraries/LibGateway/GatewayRun.cpp|s/return suspected \&\& last_input/return false \&\& suspected \&\& last_input/|AttemptRulesTest|*OthersFoundDead*'
-    '41|Libraries/LibGateway/EarlyRequests.h|s/return std::min(s_longest_wait, patience/return 0 * std::min(s_longest_wait, patience/|AttemptRulesTest|*BeforeTheFirstTableWaits*'
+    '41|Libraries/LibGateway/DeferredRequests.h|s/return std::min(s_max_wait, caller_timeout/return 0 * std::min(s_max_wait, caller_timeout/|AttemptRulesTest|*BeforeTheFirstTableWaits*'
     '36|Libraries/LibGateway/LoadSharing.cpp|s/load = without(load, found->second);/load = without(load, {});/|LoadSharingTest|*KnowsWhatAny*'
     '42|Libraries/LibCluster/UsageReporter.h|s/return is_free ? m_known/return !is_free ? m_known->seen : is_free ? m_known/|UsageReporterTest|*CutOffFromItsPeers*'
     '43|Libraries/LibCluster/UsageReporter.h|s/bool const can_send = now < m_term->valid_until;/bool const can_send = true;/;s/std::min(m_settings.call_timeout, Core::elapsed(now, m_term->valid_until));/m_settings.call_timeout;/|UsageReporterTest|*WhateverFails*'
--- a/Tests/LibGateway/AttemptRulesTest.cpp
+++ b/Tests/LibGateway/AttemptRulesTest.cpp
@@ -419,7 +419,7 @@
     auto const refusal = answer_of(request("POST", "/plain/", "Granitefield-Remaining-Ms: 200\r\n"));
     EXPECT_EQ(refusal.status, 503);
     EXPECT_TRUE(field_of(refusal.head, "Retry-After"));
-    EXPECT_LT(Core::elapsed(begun, Core::monotonic_now()), Gateway::EarlyRequests::s_longest_wait);
+    EXPECT_LT(Core::elapsed(begun, Core::monotonic_now()), Gateway::DeferredRequests::s_max_wait);
     publish_table();
     publish_servers();
     EXPECT_EQ(early->read_answer().body, "fine");
