--- a/Libraries/LibGateway/OwnAnswer.cpp
+++ b/Libraries/LibGateway/ErrorResponse.cpp
@@ -1,4 +1,4 @@
-#include <LibGateway/OwnAnswer.h>
+#include <LibGateway/ErrorResponse.h>
 
 #include <LibEntry/CallInterpreter.h>
 
@@ -14,7 +14,7 @@
     return absl::StrFormat("%.3f", std::chrono::duration<double>(duration).count());
 }
 
-void give_own_answer(
+void send_error_response(
     CallerConnection& caller, Entry::ErrorAnswer const& error, std::string const& request, Dialect const& dialect)
 {
     HTTP::FieldList fields;
--- a/Libraries/LibGateway/OwnAnswer.h
+++ b/Libraries/LibGateway/ErrorResponse.h
@@ -12,6 +12,6 @@
 [[nodiscard]] std::string format_retry_after(Core::Milliseconds, RetryAfterForm);
 
 /// Gives a caller an answer of the gateway's own, as JSON with the outcome and when to come back.
-void give_own_answer(CallerConnection&, Entry::ErrorAnswer const&, std::string const& request, Dialect const&);
+void send_error_response(CallerConnection&, Entry::ErrorAnswer const&, std::string const& request, Dialect const&);
 
 }
--- a/Libraries/LibGateway/GatewayRun.cpp
+++ b/Libraries/LibGateway/GatewayRun.cpp
@@ -3,7 +3,7 @@
 #include <LibCore/Hashing.h>
 #include <LibCore/Text.h>
 #include <LibEntry/CallInterpreter.h>
-#include <LibGateway/OwnAnswer.h>
+#include <LibGateway/ErrorResponse.h>
 #include <LibHTTP/Status.h>
 #include <LibPolicy/ReturnDelay.h>
 
@@ -558,7 +558,7 @@
     error.code = std::move(code);
     error.message = std::move(message);
     error.retry_after = retry_after.value_or(m_context.settings.retry_after);
-    give_own_answer(*m_caller, error, m_call.id, m_context.dialect);
+    send_error_response(*m_caller, error, m_call.id, m_context.dialect);
     finish(error.outcome, error.status, error.code);
 }
 
--- a/Libraries/LibGateway/GatewayServer.cpp
+++ b/Libraries/LibGateway/GatewayServer.cpp
@@ -1,6 +1,6 @@
 #include <LibGateway/GatewayServer.h>
 
-#include <LibGateway/OwnAnswer.h>
+#include <LibGateway/ErrorResponse.h>
 
 #include <algorithm>
 #include <future>
@@ -248,7 +248,7 @@
             .add("table_age_ms", Core::elapsed(m_table_since, now))
             .add("newest_known", known.versions.table.value())
             .add("store_heard_ms", known.last_healthy_at ? Core::elapsed(*known.last_healthy_at, now).count() : -1));
-    give_own_answer(caller, error, id, m_settings.dialect);
+    send_error_response(caller, error, id, m_settings.dialect);
 }
 
 std::optional<Entry::ErrorAnswer> GatewayServer::refuse_for_stop(GatewayCall const& call, Core::MonotonicTime now) const
