--- a/Libraries/LibGateway/Dialect.h
+++ b/Libraries/LibGateway/Dialect.h
@@ -6,11 +6,11 @@
 namespace GraniteField::Gateway {
 
 /// How a time is written in `Retry-After`.
-enum class RetryAfterForm {
+enum class RetryAfterFormat {
     /// As RFC 9110, section 10.2.3, has it.
     WholeSeconds,
     /// With fractions, for callers that read them.
-    Fractions,
+    FractionalSeconds,
 };
 
 /// The names of the header fields that a gateway reads and writes. The product's own stand here; an adapter gives
@@ -43,8 +43,8 @@
     std::string prompt_source;
     /// Orders to an engine about its memory, its leases and its weights. Only the gateway may give them: what a caller
     /// sends under these names reaches no backend server, on any route.
-    std::vector<std::string> engine_orders;
-    RetryAfterForm retry_after {RetryAfterForm::WholeSeconds};
+    std::vector<std::string> engine_control_fields;
+    RetryAfterFormat retry_after {RetryAfterFormat::WholeSeconds};
 };
 
 }
--- a/Libraries/LibGateway/ErrorResponse.cpp
+++ b/Libraries/LibGateway/ErrorResponse.cpp
@@ -7,9 +7,9 @@
 
 namespace GraniteField::Gateway {
 
-std::string format_retry_after(Core::Milliseconds duration, RetryAfterForm form)
+std::string format_retry_after(Core::Milliseconds duration, RetryAfterFormat form)
 {
-    if (form == RetryAfterForm::WholeSeconds)
+    if (form == RetryAfterFormat::WholeSeconds)
         return std::to_string(Entry::retry_after_seconds(duration));
     return absl::StrFormat("%.3f", std::chrono::duration<double>(duration).count());
 }
--- a/Libraries/LibGateway/ErrorResponse.h
+++ b/Libraries/LibGateway/ErrorResponse.h
@@ -9,7 +9,7 @@
 namespace GraniteField::Gateway {
 
 /// The value of `Retry-After`.
-[[nodiscard]] std::string format_retry_after(Core::Milliseconds, RetryAfterForm);
+[[nodiscard]] std::string format_retry_after(Core::Milliseconds, RetryAfterFormat);
 
 /// Gives a caller an answer of the gateway's own, as JSON with the outcome and when to come back.
 void send_error_response(CallerConnection&, Entry::ErrorAnswer const&, std::string const& request, Dialect const&);
--- a/Libraries/LibGateway/GatewayRun.cpp
+++ b/Libraries/LibGateway/GatewayRun.cpp
@@ -246,7 +246,7 @@
     // set such fields.
     auto const is_kept_back = [&](std::string_view field) {
         auto const is_named = [field](std::string_view name) { return HTTP::is_same_name(name, field); };
-        return std::ranges::any_of(replaced, is_named) || std::ranges::any_of(dialect.engine_orders, is_named);
+        return std::ranges::any_of(replaced, is_named) || std::ranges::any_of(dialect.engine_control_fields, is_named);
     };
     auto const connection = head.fields.value_or("Connection", "");
     bool const is_resumed = m_first_event.has_value();
--- a/Meta/deliberate-breaks.sh
+++ b/Meta/deliberate-breaks.sh
@@ -41,7 +41,7 @@
     '27|Libraries/LibPlatform/ObjectClient.cpp|s/list_path(kind, has_names ?/list_path(kind, has_names \&\& false ?/|GatewayProcessTest|*LongList*'
     '28|Libraries/LibGateway/LoadSharing.cpp|s/m_placements_before = std::exchange(m_placements, {});/m_placements.clear();/|LoadExchangeTest|*ToldTwice*'
     '29|Libraries/LibGateway/PlacementPolicy.cpp|s/ + slot_loss(load, server.record().slots);/ + 0 * slot_loss(load, server.record().slots);/|PauseRulesTest|*EnginesSlots*'
-    '30|Libraries/LibGateway/GatewayRun.cpp|s/any_of(dialect.engine_orders, is_named)/any_of(dialect.engine_orders, [](auto const\&) { return false; })/|RequestRulesTest|*OrdersToEngines*'
+    '30|Libraries/LibGateway/GatewayRun.cpp|s/any_of(dialect.engine_control_fields, is_named)/any_of(dialect.engine_control_fields, [](auto const\&) { return false; })/|RequestRulesTest|*OrdersToEngines*'
     '31|Libraries/LibGateway/GatewayRun.cpp|s/m_choice.forgo_fetch();/static_cast<void>(0);/|AttemptRulesTest|*AFetchThatFails*'
     '32|Libraries/LibGateway/PlacementPolicy.cpp|s/? s_hopeless_wait : 0;/? 0 * s_hopeless_wait : 0;/|PauseRulesTest|*DoNotAllWait*'
     '33|Libraries/LibEntry/WatchElection.cpp|s/return now >= suspicion_time();/return now < suspicion_time() \&\& false;/|WatchersTest|*AllOfThemDie*'
--- a/Tests/LibGateway/RequestRulesTest.cpp
+++ b/Tests/LibGateway/RequestRulesTest.cpp
@@ -11,7 +11,7 @@
 protected:
     RequestRules()
     {
-        m_settings.dialect.engine_orders = {"Order-Lease", "Order-Copy"};
+        m_settings.dialect.engine_control_fields = {"Order-Lease", "Order-Copy"};
         add_backend("i-1",
             [](auto& connection, auto const& request, auto) { connection.write(answer_to(request, 200, "fine")); });
         start();
--- a/Tests/platform/DecodersTest.cpp
+++ b/Tests/platform/DecodersTest.cpp
@@ -221,7 +221,7 @@
 TEST(PlatformDialect, NamesEveryFieldThatOnlyAGatewayMaySet)
 {
     auto const dialect = platform_dialect();
-    std::set<std::string> names(dialect.engine_orders.begin(), dialect.engine_orders.end());
+    std::set<std::string> names(dialect.engine_control_fields.begin(), dialect.engine_control_fields.end());
     names.insert({dialect.priority, dialect.expected_instance, dialect.workspace, dialect.remaining_time});
     for (auto const* name : {"X-Hold", "X-Pin-Ms", "X-Kv-Backup", "Kv-From", "Kv-Fetch", "X-Expect-Version",
              "X-Request-Priority", "X-Expect-Instance", "X-Tenant", "X-Deadline-Ms"})
