--- a/Libraries/LibGateway/GatewayMetrics.h
+++ b/Libraries/LibGateway/GatewayMetrics.h
@@ -45,7 +45,7 @@
         m_registry.distribution("granitefield_gateway_first_byte_seconds", {{"tier", std::to_string(tier)}}).add(time);
     }
 
-    void note_whole(unsigned tier, Core::Microseconds time)
+    void note_answer_duration(unsigned tier, Core::Microseconds time)
     {
         m_registry.distribution("granitefield_gateway_answer_seconds", {{"tier", std::to_string(tier)}}).add(time);
     }
@@ -67,7 +67,7 @@
     void note_quarantine() { m_quarantines.add(); }
     void set_quarantined(std::size_t count) { m_quarantined.set(static_cast<std::int64_t>(count)); }
     /// Such a request came, and reached none.
-    void note_held_back() { m_held_back.add(); }
+    void note_refused_by_quarantine() { m_held_back.add(); }
     void note_bad_request(int status)
     {
         m_registry.counter("granitefield_gateway_bad_requests_total", {{"status", std::to_string(status)}}).add();
--- a/Libraries/LibGateway/GatewayRun.cpp
+++ b/Libraries/LibGateway/GatewayRun.cpp
@@ -82,7 +82,7 @@
 
 void GatewayRun::hold_back()
 {
-    m_context.metrics.note_held_back();
+    m_context.metrics.note_refused_by_quarantine();
     drop_unsent_attempt();
     if (m_has_begun_answer)
         return cut("quarantined");
@@ -585,7 +585,7 @@
     // Reasons from outside are many; the metric keeps to those of the code.
     m_context.metrics.note_end(m_call.tier, outcome, outcome == Outcome::Cut ? "cut" : std::string(reason));
     if (outcome == Outcome::Done)
-        m_context.metrics.note_whole(m_call.tier, std::chrono::duration_cast<Core::Microseconds>(total));
+        m_context.metrics.note_answer_duration(m_call.tier, std::chrono::duration_cast<Core::Microseconds>(total));
     m_context.log.write(
         Observe::LogEvent("request-end")
             .add("request", m_call.id)
