--- a/Libraries/LibEntry/PeerExchange.cpp
+++ b/Libraries/LibEntry/PeerExchange.cpp
@@ -15,25 +15,25 @@
 
 namespace {
 
-/// Known entries that an announcement tells of.
-constexpr std::size_t s_known_per_announcement = 8;
-/// Members that a gateway which has just begun is told of at once.
-constexpr std::size_t s_members_told = 200;
-/// When it asks for them: when the seeds have heard most of those that began together, and once more in case the first
-/// answer was lost.
+/// Peers included in a periodic announcement.
+constexpr std::size_t s_peers_per_announcement = 8;
+/// Peers included in the reply to a gateway that requests members.
+constexpr std::size_t s_max_member_reply = 200;
+/// Running times at which a new gateway requests members. By the first, the seeds have received the announcements of
+/// most gateways that started together; the second covers a lost reply.
 constexpr Core::Milliseconds s_first_member_request {400};
 constexpr Core::Milliseconds s_last_member_request {1'200};
-/// Factor by which a process that runs late stretches the announce interval.
+/// Factor by which a process that runs late increases its announce interval.
 constexpr int s_slow_announce_factor = 4;
-constexpr int s_announcements_per_memory = 3;
-/// From then on a gateway counts on knowing the members of its group.
+constexpr int s_announcements_per_peer_timeout = 3;
+/// Running time after which a gateway is assumed to know the members of its group.
 constexpr Core::Milliseconds s_discovery_time {1'500};
-/// Relays of the own group that are told of this gateway.
-constexpr std::size_t s_relays_connected = 2;
-/// A connection that has fallen silent without an end shows by probes only.
+/// Relays of its own group to which a gateway connects.
+constexpr std::size_t s_relay_connections = 2;
+/// Interval of ZeroMQ heartbeats. Only these detect a connection that broke without being closed.
 constexpr Core::Milliseconds s_probe_interval {5'000};
-constexpr int s_messages_per_turn = 200;
-constexpr int s_waiting_messages = 1'000;
+constexpr int s_max_messages_per_tick = 200;
+constexpr int s_high_water_mark = 1'000;
 
 std::string bind_endpoint(Core::Address const& address)
 {
@@ -68,21 +68,21 @@
     , m_events(std::move(events))
     , m_bytes_in(metrics.counter("granitefield_peer_bytes_total", {{"direction", "in"}}))
     , m_bytes_out(metrics.counter("granitefield_peer_bytes_total", {{"direction", "out"}}))
-    , m_rejected(metrics.counter("granitefield_peer_messages_rejected_total"))
-    , m_known(metrics.gauge("granitefield_peers"))
+    , m_rejected_messages(metrics.counter("granitefield_peer_messages_rejected_total"))
+    , m_peer_count(metrics.gauge("granitefield_peers"))
     , m_listener(context, zmq::socket_type::router)
     , m_view({m_settings.name, m_settings.group, "", {}, true, ""})
 {
     m_listener.set(zmq::sockopt::linger, 0);
-    m_listener.set(zmq::sockopt::rcvhwm, s_waiting_messages);
-    m_listener.set(zmq::sockopt::sndhwm, s_waiting_messages);
+    m_listener.set(zmq::sockopt::rcvhwm, s_high_water_mark);
+    m_listener.set(zmq::sockopt::sndhwm, s_high_water_mark);
     m_listener.set(zmq::sockopt::maxmsgsize, Protocol::s_largest_message_bytes);
     m_listener.set(zmq::sockopt::ipv6, m_settings.address.is_ipv6());
     m_listener.bind(bind_endpoint(m_settings.address));
     auto const endpoint = m_listener.get(zmq::sockopt::last_endpoint).substr(std::string_view("tcp://").size());
     auto const bound = Core::Address::from_string(endpoint);
     if (!bound)
-        throw std::runtime_error("the bound address can't be read");
+        throw std::runtime_error("cannot parse the address that the peer listener is bound to");
     m_port = bound->port();
     auto const advertised = m_settings.advertised_address.value_or(*bound);
     m_view = PeerView({m_settings.name, m_settings.group, advertised.to_string(), {}, true, m_settings.load_address,
@@ -120,10 +120,10 @@
 
 Core::Milliseconds PeerExchange::pull_delay() const
 {
-    // Who has nothing yet, or does not hear the platform, takes a peer's word at once.
-    bool const has_begun = m_table.current() != nullptr && m_servers.settled() != nullptr;
-    bool const hears_platform = m_is_platform_reachable && m_events.follows_platform();
-    return has_begun && hears_platform ? m_settings.pull_delay : Core::Milliseconds(0);
+    // An entry that has no state yet, or does not follow the platform, pulls from a peer at once.
+    bool const has_state = m_table.current() != nullptr && m_servers.settled() != nullptr;
+    bool const follows_platform = m_is_platform_reachable && m_events.follows_platform();
+    return has_state && follows_platform ? m_settings.pull_delay : Core::Milliseconds(0);
 }
 
 void PeerExchange::run()
@@ -133,7 +133,7 @@
         auto const now = Core::monotonic_now();
         m_running.note_tick(now);
         auto const own = versions();
-        if (own != std::exchange(m_seen, own))
+        if (own != std::exchange(m_last_versions, own))
             m_pulls.note_update();
         if (auto table = m_table.current())
             m_history.note(std::move(table));
@@ -146,8 +146,8 @@
         m_membership.is_discovery_complete = is_discovery_complete(now);
         m_membership.peer_count = m_view.count();
         m_membership.has_found_peers = m_view.count() > 0 || is_connected();
-        m_known.set(static_cast<std::int64_t>(m_view.count()));
-        if (std::exchange(m_told_generation, m_view.generation()) != m_view.generation()) {
+        m_peer_count.set(static_cast<std::int64_t>(m_view.count()));
+        if (std::exchange(m_applied_generation, m_view.generation()) != m_view.generation()) {
             m_membership.set_load_members(m_view.load_members());
             update_connections();
         }
@@ -160,7 +160,7 @@
 
 bool PeerExchange::is_connected() const
 {
-    // Messages wait for complete connections only.
+    // With ZMQ_IMMEDIATE a socket is writable only once its connection is established.
     return std::ranges::any_of(m_connections,
         [](auto const& item) { return (item.second.socket->get(zmq::sockopt::events) & ZMQ_POLLOUT) != 0; });
 }
@@ -177,7 +177,8 @@
 
 void PeerExchange::update_election(Core::MonotonicTime now)
 {
-    // Before it knows the others each would elect itself; the seeds, whom all ask first, begin at once.
+    // Before discovery each gateway would elect itself. The seeds start at once, since all others connect to them
+    // first.
     m_events.on_election(is_discovery_complete(now) ? m_view.is_elected() : m_is_seed);
 }
 
@@ -197,7 +198,7 @@
 void PeerExchange::receive(zmq::socket_t& socket, std::string const& address)
 {
     bool const is_listener = address.empty();
-    for (int count = 0; count < s_messages_per_turn; ++count) {
+    for (int count = 0; count < s_max_messages_per_tick; ++count) {
         zmq::message_t route;
         if (is_listener && !socket.recv(route, zmq::recv_flags::dontwait))
             return;
@@ -215,7 +216,7 @@
         if (is_readable)
             handle(envelope, frame, {route.to_string(), address});
         else
-            m_rejected.add();
+            m_rejected_messages.add();
     }
 }
 
@@ -235,9 +236,9 @@
 void PeerExchange::send(zmq::socket_t& socket, zmq::message_t frame)
 {
     auto const size = frame.size();
-    // What does not go out now goes with a later announcement.
+    // A message that would block is dropped; a later announcement repeats its content.
     if (socket.send(frame, zmq::send_flags::dontwait))
-        count_out(size);
+        count_sent_bytes(size);
 }
 
 void PeerExchange::handle(Envelope const& envelope, zmq::message_t& frame, PeerOrigin const& origin)
@@ -254,7 +255,7 @@
     case Envelope::kServers:
         return handle_servers(envelope.servers(), frame);
     default:
-        m_rejected.add();
+        m_rejected_messages.add();
     }
 }
 
@@ -270,13 +271,13 @@
     bool const is_ahead = others.is_ahead_of(own);
     if (is_ahead)
         m_pulls.note_offer(origin, others);
-    // A sender that is behind is told what there is, and pulls.
+    // An announcement in reply lets a sender that is behind pull.
     bool const is_behind = own.is_ahead_of(others) && !is_ahead;
     if (!is_behind && !announce.wants_members())
         return;
     auto answer = make_announcement();
     if (announce.wants_members()) {
-        for (auto const& peer : m_view.sample(s_members_told))
+        for (auto const& peer : m_view.sample(s_max_member_reply))
             *answer.mutable_announce()->add_known() = to_message(peer, now);
     }
     send_to(origin, to_frame(answer));
@@ -297,20 +298,21 @@
 
 void PeerExchange::handle_pull(Message::Pull const& pull, PeerOrigin const& origin)
 {
-    give_table(pull, origin);
-    give_drains(pull, origin);
-    give_servers(pull, origin);
+    send_table(pull, origin);
+    send_drains(pull, origin);
+    send_servers(pull, origin);
 }
 
-void PeerExchange::give_table(Message::Pull const& pull, PeerOrigin const& origin)
+void PeerExchange::send_table(Message::Pull const& pull, PeerOrigin const& origin)
 {
     auto const table = m_table.current();
     if (!table || table->version().value() <= pull.table_version())
         return;
-    send_to(origin, frame_from(Core::TableVersion(pull.table_version()), table));
+    send_to(origin, make_update_frame(Core::TableVersion(pull.table_version()), table));
 }
 
-zmq::message_t PeerExchange::frame_from(Core::TableVersion from, std::shared_ptr<Table::Table const> const& table)
+zmq::message_t PeerExchange::make_update_frame(
+    Core::TableVersion from, std::shared_ptr<Table::Table const> const& table)
 {
     m_history.note(table);
     auto edits = m_history.edits_since(from);
@@ -326,7 +328,7 @@
     return frame;
 }
 
-void PeerExchange::give_drains(Message::Pull const& pull, PeerOrigin const& origin)
+void PeerExchange::send_drains(Message::Pull const& pull, PeerOrigin const& origin)
 {
     auto const drains = m_drains.current();
     if (drains.version.value() <= pull.drains_version())
@@ -336,15 +338,15 @@
     send_to(origin, to_frame(answer));
 }
 
-void PeerExchange::give_servers(Message::Pull const& pull, PeerOrigin const& origin)
+void PeerExchange::send_servers(Message::Pull const& pull, PeerOrigin const& origin)
 {
     auto const list = m_servers.settled();
     if (!list || list->revision.value() <= pull.servers_revision())
         return;
-    send_to(origin, frame_from(ListRevision(pull.servers_revision()), list));
+    send_to(origin, make_update_frame(ListRevision(pull.servers_revision()), list));
 }
 
-zmq::message_t PeerExchange::frame_from(ListRevision from, std::shared_ptr<ServerList const> const& list)
+zmq::message_t PeerExchange::make_update_frame(ListRevision from, std::shared_ptr<ServerList const> const& list)
 {
     m_servers_history.note(list);
     auto changes = m_servers_history.changes_since(from);
@@ -373,15 +375,15 @@
         bool const is_whole = update.from_version() == 0;
         if (!table || !m_table.offer(*std::move(table), is_whole ? TableSource::PeerWhole : TableSource::PeerEdits))
             return;
-        // What has come goes on to others as it is.
+        // Forward the update to peers as received.
         m_table_frames.keep(from, to, frame);
-        auto taken = m_table.current();
-        if (taken->version() == to)
-            m_history.note_step(std::move(taken), from, std::move(edits));
+        auto accepted = m_table.current();
+        if (accepted->version() == to)
+            m_history.note_step(std::move(accepted), from, std::move(edits));
         m_events.on_update();
     } catch (Core::InvalidInput const& error) {
-        m_rejected.add();
-        LOG(ERROR) << "peers: a peer's table can't be taken: " << error.what();
+        m_rejected_messages.add();
+        LOG(ERROR) << "peers: rejected the table update of a peer: " << error.what();
     }
 }
 
@@ -398,25 +400,25 @@
     try {
         auto changes = from_message(update, Core::monotonic_now());
         if (!changes)
-            return m_rejected.add();
+            return m_rejected_messages.add();
         auto list = apply_changes(*changes, m_servers.settled());
         if (!list) {
-            // Another list than the sender's under the same revision, or one that has come meanwhile.
+            // The list here differs from the sender's under the same revision, or a newer one has arrived meanwhile.
             m_needs_whole_servers = true;
             return;
         }
         m_needs_whole_servers = false;
         if (!m_servers.offer(*std::move(list)))
             return;
-        // What has come goes on to others as it is.
+        // Forward the update to peers as received.
         m_servers_frames.keep(changes->from, changes->to, frame);
-        auto const taken = m_servers.settled();
-        if (taken && taken->revision == changes->to)
-            m_servers_history.note_step(taken, *std::move(changes));
+        auto const accepted = m_servers.settled();
+        if (accepted && accepted->revision == changes->to)
+            m_servers_history.note_step(accepted, *std::move(changes));
         m_events.on_update();
     } catch (Core::InvalidInput const& error) {
-        m_rejected.add();
-        LOG(ERROR) << "peers: a peer's list of servers can't be taken: " << error.what();
+        m_rejected_messages.add();
+        LOG(ERROR) << "peers: rejected the server list update of a peer: " << error.what();
     }
 }
 
@@ -425,10 +427,10 @@
     std::vector<std::string> wanted;
     for (auto const& neighbour : m_view.neighbours())
         wanted.push_back(neighbour.address);
-    // A relay believes only gateways that it knows.
-    for (auto const& relay : m_view.preferred_relays(s_relays_connected))
+    // A relay accepts datagrams only from gateways that it knows.
+    for (auto const& relay : m_view.preferred_relays(s_relay_connections))
         wanted.push_back(relay.address);
-    // Seeds are for the time before anybody is known; after a parting they lead back together.
+    // Seeds are needed before any peer is known, and they reconnect the fleet after a partition.
     for (auto const& seed : m_settings.seeds)
         wanted.push_back(seed.to_string());
     for (auto& [address, connection] : m_connections)
@@ -442,38 +444,38 @@
         connection.socket->set(zmq::sockopt::linger, 0);
         connection.socket->set(zmq::sockopt::heartbeat_ivl, static_cast<int>(s_probe_interval.count()));
         connection.socket->set(zmq::sockopt::immediate, true);
-        connection.socket->set(zmq::sockopt::sndhwm, s_waiting_messages);
-        connection.socket->set(zmq::sockopt::rcvhwm, s_waiting_messages);
+        connection.socket->set(zmq::sockopt::sndhwm, s_high_water_mark);
+        connection.socket->set(zmq::sockopt::rcvhwm, s_high_water_mark);
         connection.socket->set(zmq::sockopt::maxmsgsize, Protocol::s_largest_message_bytes);
         connection.socket->connect("tcp://" + address);
-        // A new neighbour hears of this entry soon.
+        // Announce soon to the new neighbour.
         m_next_announcement
             = std::min(m_next_announcement, Core::monotonic_now() + m_settings.initial_announce_interval);
     }
     std::erase_if(m_connections, [](auto const& item) { return !item.second.is_wanted; });
 }
 
-Core::Milliseconds PeerExchange::usual_announce_interval() const
+Core::Milliseconds PeerExchange::steady_announce_interval() const
 {
     auto const interval = m_settings.announce_interval;
     if (!m_running.is_slow())
         return interval;
-    // Peers must not forget this process because of one lost announcement.
-    auto const longest = std::max(interval, PeerView::s_peer_timeout / s_announcements_per_memory);
+    // Peers must not time out this process after one lost announcement.
+    auto const longest = std::max(interval, PeerView::s_peer_timeout / s_announcements_per_peer_timeout);
     return std::min(interval * s_slow_announce_factor, longest);
 }
 
 void PeerExchange::announce_if_due(Core::MonotonicTime now)
 {
-    bool const has_changes = versions() != m_announced || m_is_platform_reachable != m_announced_reachable
+    bool const has_changes = versions() != m_announced_versions || m_is_platform_reachable != m_announced_reachable
         || m_pulls.should_query_neighbours(versions(), m_running.clock(now), pull_delay())
         || is_member_request_due(now);
     if (!has_changes && now < m_next_announcement)
         return;
     announce();
     auto const interval
-        = table_version() == Core::TableVersion() ? m_settings.initial_announce_interval : usual_announce_interval();
-    // Spread over a quarter of the interval, so that entries that started together do not stay together.
+        = table_version() == Core::TableVersion() ? m_settings.initial_announce_interval : steady_announce_interval();
+    // Jitter of a quarter of the interval, so that entries that started together do not announce in step.
     static thread_local std::mt19937 s_generator {std::random_device {}()};
     std::uniform_int_distribution<std::int64_t> spread(interval.count() * 3 / 4, interval.count());
     m_next_announcement = now + Core::Milliseconds(spread(s_generator));
@@ -496,12 +498,12 @@
 void PeerExchange::announce()
 {
     auto const now = Core::monotonic_now();
-    m_announced = versions();
+    m_announced_versions = versions();
     auto envelope = make_announcement();
     m_announced_reachable = envelope.announce().sender().is_platform_reachable();
-    // What is due only now and then tells of other entries as well; news stay short.
+    // Only periodic announcements carry peers; those of a change stay short.
     if (now >= m_next_announcement) {
-        for (auto const& peer : m_view.sample(s_known_per_announcement))
+        for (auto const& peer : m_view.sample(s_peers_per_announcement))
             *envelope.mutable_announce()->add_known() = to_message(peer, now);
     }
     if (is_member_request_due(now)) {
--- a/Libraries/LibEntry/PeerExchange.h
+++ b/Libraries/LibEntry/PeerExchange.h
@@ -32,42 +32,43 @@
 
 namespace GraniteField::Entry {
 
-/// Spreads the table, the drains and the list of backend servers between entries, on a thread of its own. An entry
-/// announces the versions that it has to its neighbours; whoever has older ones pulls.
+/// Exchanges the table, the drains and the list of backend servers with other entries, on a thread of its own. Each
+/// entry announces its versions to its neighbours; an entry with older versions pulls the newer ones.
 /// docs/design/configuration-spread.md gives the reasons.
 class PeerExchange {
 public:
     struct Settings {
         std::string name;
-        /// Entries of the same group share the watching of the platform.
+        /// Entries of the same group divide the watching of the platform among themselves.
         std::string group;
-        /// Its host's share of a core, in thousandths; 0 if not known.
+        /// Processor time available to the host, in thousandths of a core; 0 if unknown.
         unsigned processor_permille {0};
         Core::Address address;
-        /// Where other entries reach that address, if elsewhere: behind a translation of addresses.
+        /// Address at which other entries reach this one, if it differs, for example behind network address
+        /// translation.
         std::optional<Core::Address> advertised_address;
-        /// Where this entry takes datagrams about load; empty for none.
+        /// Address that receives load datagrams; empty for none.
         std::string load_address;
-        /// Peer ports of a few other entries, to find the rest from.
+        /// Peer addresses of a few other entries, used to discover the rest.
         std::vector<Core::Address> seeds;
-        /// How often versions are announced when nothing changes.
+        /// Interval of announcements while nothing changes.
         Core::Milliseconds announce_interval {10'000};
-        /// How often the seeds are asked while there is no table.
+        /// Interval of announcements until the first table has arrived.
         Core::Milliseconds initial_announce_interval {200};
-        /// How long the platform's own word is waited for before a peer's is asked for, by an entry that hears the
-        /// platform itself.
+        /// Delay before pulling from a peer, for an entry that follows the platform itself and may receive the update
+        /// from there.
         Core::Milliseconds pull_delay {0};
     };
 
-    /// What the owner does for the exchange, on its thread.
+    /// Callbacks to the owner, called on the thread of the exchange.
     struct Events {
-        /// A peer brought something newer.
+        /// A newer version was received from a peer.
         std::function<void()> on_update;
-        /// This gateway is, or is not any more, one of those that watch the platform.
+        /// Reports with each tick whether this gateway is elected to watch the platform.
         std::function<void(bool)> on_election {[](bool) {}};
-        /// Whether this entry hears the platform itself.
+        /// Whether this entry follows the platform itself.
         std::function<bool()> follows_platform {[] { return true; }};
-        /// The newest that is known to be somewhere by other words than those of peers.
+        /// The newest versions known from sources other than peer announcements.
         std::function<StateVersions()> newest_known {[] { return StateVersions(); }};
     };
 
@@ -77,11 +78,11 @@
     PeerExchange(PeerExchange const&) = delete;
     PeerExchange& operator=(PeerExchange const&) = delete;
 
-    /// Looks soon whether there is something new to announce. Any thread.
+    /// Wakes the thread to check for versions to announce. Any thread.
     void wake() { m_wake.signal(); }
-    /// Whether this entry is one that watches the platform. Any thread.
+    /// Whether this entry is elected to watch the platform. Any thread.
     [[nodiscard]] bool should_watch() const { return m_should_watch; }
-    /// Whether the platform answers this entry. Any thread.
+    /// Records whether this entry can reach the platform. Any thread.
     void set_platform_reachable(bool value);
     [[nodiscard]] std::uint16_t port() const { return m_port; }
 
@@ -96,9 +97,9 @@
 
     void run();
     void wait_for_messages();
-    /// Takes what has come to the listener, or on the connection to that address.
+    /// Receives pending messages from the listener, or from the connection to that address.
     void receive(zmq::socket_t&, std::string const& address);
-    /// The frame is what the envelope was read from.
+    /// `frame` holds the serialized envelope.
     void handle(Envelope const&, zmq::message_t& frame, PeerOrigin const&);
     void handle_announce(granitefield::protocol::Announce const&, PeerOrigin const&);
     void handle_pull(granitefield::protocol::Pull const&, PeerOrigin const&);
@@ -106,22 +107,23 @@
     void handle_drains(granitefield::protocol::DrainsUpdate const&);
     void handle_servers(granitefield::protocol::ServersUpdate const&, zmq::message_t& frame);
     void pull_if_due(Core::MonotonicTime now);
-    void give_table(granitefield::protocol::Pull const&, PeerOrigin const&);
-    /// The message that leads from that version to the table.
-    [[nodiscard]] zmq::message_t frame_from(Core::TableVersion, std::shared_ptr<Table::Table const> const&);
-    void give_drains(granitefield::protocol::Pull const&, PeerOrigin const&);
-    void give_servers(granitefield::protocol::Pull const&, PeerOrigin const&);
-    /// The message that leads from that revision to the list. Servers that are cold when it is made are told as cold
-    /// for as long to whoever gets it later, which errs on the safe side.
-    [[nodiscard]] zmq::message_t frame_from(ListRevision, std::shared_ptr<ServerList const> const&);
+    void send_table(granitefield::protocol::Pull const&, PeerOrigin const&);
+    /// Returns the update from that version to the table, serialized. From a version that is not in the history, it
+    /// holds the whole table.
+    [[nodiscard]] zmq::message_t make_update_frame(Core::TableVersion, std::shared_ptr<Table::Table const> const&);
+    void send_drains(granitefield::protocol::Pull const&, PeerOrigin const&);
+    void send_servers(granitefield::protocol::Pull const&, PeerOrigin const&);
+    /// Returns the update from that revision to the list, serialized. The remaining cold times in it are those of when
+    /// it was made; for peers that receive a cached update later they are too long, which is safe.
+    [[nodiscard]] zmq::message_t make_update_frame(ListRevision, std::shared_ptr<ServerList const> const&);
     void update_connections();
     void update_election(Core::MonotonicTime now);
-    /// Whether a connection to a neighbour or a seed is up.
+    /// Whether any connection to a neighbour or a seed is up.
     [[nodiscard]] bool is_connected() const;
     [[nodiscard]] bool is_discovery_complete(Core::MonotonicTime now) const;
     [[nodiscard]] bool is_member_request_due(Core::MonotonicTime now) const;
-    /// How often versions are announced when nothing changes.
-    [[nodiscard]] Core::Milliseconds usual_announce_interval() const;
+    /// Interval of announcements while nothing changes. Longer in a process that runs late.
+    [[nodiscard]] Core::Milliseconds steady_announce_interval() const;
     void announce_if_due(Core::MonotonicTime now);
     void announce();
     [[nodiscard]] Envelope make_announcement();
@@ -129,9 +131,9 @@
     [[nodiscard]] StateVersions versions() const;
     [[nodiscard]] Core::Milliseconds pull_delay() const;
     void send(zmq::socket_t&, zmq::message_t);
-    /// Sends to where a message came from, if that is still there.
+    /// Replies to the origin of a message, if the connection is still open.
     void send_to(PeerOrigin const&, zmq::message_t);
-    void count_out(std::size_t bytes) { m_bytes_out.add(bytes); }
+    void count_sent_bytes(std::size_t bytes) { m_bytes_out.add(bytes); }
 
     Settings m_settings;
     zmq::context_t& m_context;
@@ -142,8 +144,8 @@
     Events m_events;
     Observe::Counter& m_bytes_in;
     Observe::Counter& m_bytes_out;
-    Observe::Counter& m_rejected;
-    Observe::Gauge& m_known;
+    Observe::Counter& m_rejected_messages;
+    Observe::Gauge& m_peer_count;
     zmq::socket_t m_listener;
     std::uint16_t m_port {0};
     PeerView m_view;
@@ -151,20 +153,20 @@
     UpdateFrameCache<Core::TableVersion> m_table_frames;
     ServerHistory m_servers_history;
     UpdateFrameCache<ListRevision> m_servers_frames;
-    /// Changes have come that lead from another list than the one here.
+    /// Set when received changes did not apply to the list here; the next pull asks for the whole list.
     bool m_needs_whole_servers {false};
     std::map<std::string, Connection> m_connections;
     PullSchedule m_pulls;
-    /// The view's generation that the membership and the connections follow.
-    std::uint64_t m_told_generation {0};
-    /// What this entry had when it last looked, and when it last announced.
-    StateVersions m_seen;
-    StateVersions m_announced;
+    /// Generation of the view that the membership and the connections reflect.
+    std::uint64_t m_applied_generation {0};
+    /// Versions at the last tick, and at the last announcement.
+    StateVersions m_last_versions;
+    StateVersions m_announced_versions;
     bool m_announced_reachable {true};
     Core::MonotonicTime m_next_announcement;
-    /// What an entry learns after its start it learns while it runs.
+    /// Time that this process has run. Stalls are not counted, since no messages are processed during them.
     Core::RunningTime m_running {Core::monotonic_now()};
-    /// How long a gateway has run when it asks for members next.
+    /// Running time at which this gateway next requests members.
     std::optional<Core::Milliseconds> m_next_member_request;
     bool m_is_seed {false};
     std::atomic<bool> m_is_platform_reachable {true};
