--- a/Libraries/LibEntry/PeerExchange.cpp
+++ b/Libraries/LibEntry/PeerExchange.cpp
@@ -266,13 +266,13 @@
     for (auto const& record : announce.known())
         m_view.note(from_message(record, now));
     auto const own = versions();
-    StateVersions const others {Core::TableVersion(announce.table_version()), DrainsVersion(announce.drains_version()),
-        ListRevision(announce.servers_revision())};
-    bool const is_ahead = others.is_ahead_of(own);
+    StateVersions const sender_versions {Core::TableVersion(announce.table_version()),
+        DrainsVersion(announce.drains_version()), ListRevision(announce.servers_revision())};
+    bool const is_ahead = sender_versions.is_ahead_of(own);
     if (is_ahead)
-        m_pulls.note_offer(origin, others);
+        m_pulls.note_offer(origin, sender_versions);
     // An announcement in reply lets a sender that is behind pull.
-    bool const is_behind = own.is_ahead_of(others) && !is_ahead;
+    bool const is_behind = own.is_ahead_of(sender_versions) && !is_ahead;
     if (!is_behind && !announce.wants_members())
         return;
     auto answer = make_announcement();
--- a/Libraries/LibEntry/PeerMessages.cpp
+++ b/Libraries/LibEntry/PeerMessages.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-std::optional<Table::SheetName> sheet_of(std::uint32_t number)
+std::optional<Table::SheetName> sheet_from_number(std::uint32_t number)
 {
     if (number >= Table::s_all_sheets.size())
         return std::nullopt;
@@ -27,14 +27,14 @@
     throw Core::InvalidInput(findings);
 }
 
-std::string decompress_part(std::string const& bytes)
+std::string decompress_field(std::string const& bytes)
 {
     return Core::decompress(bytes, Protocol::s_largest_message_bytes);
 }
 
 Table::Edit read_edit(Message::CellEdit const& edit)
 {
-    auto const sheet = sheet_of(edit.sheet());
+    auto const sheet = sheet_from_number(edit.sheet());
     if (!sheet)
         reject("sheet " + std::to_string(edit.sheet()), "there is no such sheet");
     bool const is_removal = edit.column().empty();
@@ -76,8 +76,8 @@
     Message::TableUpdate update;
     update.set_from_version(from.value());
     update.set_to_version(to.value());
-    // Sheets, rows and columns are named at each cell, which compresses well; a small host's link has to carry it to
-    // several peers.
+    // Each cell names its sheet, row and column, which compresses well. Compression matters on small hosts, whose link
+    // carries the update to several peers.
     update.set_compressed_edits(Core::compress(list.SerializeAsString()));
     return update;
 }
@@ -85,8 +85,8 @@
 Table::Change read_edits(Message::TableUpdate const& update)
 {
     Message::TableEdits list;
-    if (!list.ParseFromString(decompress_part(update.compressed_edits())))
-        reject("edits", "they can't be read");
+    if (!list.ParseFromString(decompress_field(update.compressed_edits())))
+        reject("edits", "the list of edits cannot be parsed");
     Table::Change edits;
     edits.reserve(static_cast<std::size_t>(list.edits_size()));
     for (auto const& edit : list.edits())
@@ -153,8 +153,8 @@
 std::optional<ServerChanges> from_message(Message::ServersUpdate const& update, Core::MonotonicTime now)
 {
     Message::ServerRecords records;
-    if (!records.ParseFromString(decompress_part(update.compressed_servers())))
-        reject("servers", "they can't be read");
+    if (!records.ParseFromString(decompress_field(update.compressed_servers())))
+        reject("servers", "the list of servers cannot be parsed");
     ServerChanges changes;
     changes.from = ListRevision(update.from_revision());
     changes.to = ListRevision(update.revision());
--- a/Libraries/LibEntry/PeerMessages.h
+++ b/Libraries/LibEntry/PeerMessages.h
@@ -12,20 +12,20 @@
 #include <memory>
 #include <optional>
 
-/// What entries and gateways hold, as messages to their peers and back. Messages carry ages where this process has
-/// times.
+/// Conversion between the state of an entry or gateway and the messages to its peers. Messages carry ages in place of
+/// times, since processes do not share a monotonic clock.
 namespace GraniteField::Entry {
 
 [[nodiscard]] granitefield::protocol::PeerRecord to_message(Peer const&, Core::MonotonicTime now);
 [[nodiscard]] Peer from_message(granitefield::protocol::PeerRecord const&, Core::MonotonicTime now);
 
-/// The edits that lead from one version of the table to another; version 0 stands for the empty table.
+/// Encodes the edits between two versions of the table; version 0 is the empty table.
 [[nodiscard]] granitefield::protocol::TableUpdate to_message(
     Core::TableVersion from, Core::TableVersion to, Table::Change const& edits);
-/// Throws Core::InvalidInput when the message holds no edits.
+/// Throws Core::InvalidInput if the edits cannot be decoded.
 [[nodiscard]] Table::Change read_edits(granitefield::protocol::TableUpdate const&);
-/// The table that the edits of the message lead to; nothing when they lead from another one than the present. Throws
-/// Core::InvalidInput.
+/// Applies the edits of a message to the current table. Returns nothing if they start from another version. Throws
+/// Core::InvalidInput if the result is not a valid table.
 [[nodiscard]] std::optional<Table::Table> apply(granitefield::protocol::TableUpdate const&, Table::Change const& edits,
     std::shared_ptr<Table::Table const> const& current);
 
@@ -33,7 +33,8 @@
 [[nodiscard]] DrainList from_message(granitefield::protocol::DrainsUpdate const&);
 
 [[nodiscard]] granitefield::protocol::ServersUpdate to_message(ServerChanges const&, Core::MonotonicTime now);
-/// Nothing where a server's address can't be read. Throws Core::InvalidInput where the message holds no list.
+/// Returns nothing if the address of a server cannot be parsed. Throws Core::InvalidInput if the list cannot be
+/// decoded.
 [[nodiscard]] std::optional<ServerChanges> from_message(
     granitefield::protocol::ServersUpdate const&, Core::MonotonicTime now);
 
