--- a/Libraries/LibEntry/PeerView.cpp
+++ b/Libraries/LibEntry/PeerView.cpp
@@ -18,10 +18,11 @@
     if (found != m_peers.end()) {
         if (peer.last_heard < found->second.last_heard)
             return;
-        bool const has_moved = peer.address != found->second.address || peer.load_address != found->second.load_address
-            || peer.group != found->second.group || peer.processor_permille != found->second.processor_permille;
+        bool const has_changed = peer.address != found->second.address
+            || peer.load_address != found->second.load_address || peer.group != found->second.group
+            || peer.processor_permille != found->second.processor_permille;
         found->second = std::move(peer);
-        m_generation += has_moved ? 1 : 0;
+        m_generation += has_changed ? 1 : 0;
         return;
     }
     if (m_peers.size() >= s_max_peers)
@@ -41,9 +42,9 @@
 {
     std::vector<std::pair<std::uint64_t, Peer const*>> ring;
     ring.reserve(m_peers.size());
-    auto const own_place = Core::hash_bytes(m_self.name);
+    auto const own_position = Core::hash_bytes(m_self.name);
     for (auto const& [name, peer] : m_peers)
-        ring.emplace_back(Core::hash_bytes(name) - own_place, &peer);
+        ring.emplace_back(Core::hash_bytes(name) - own_position, &peer);
     std::ranges::sort(ring, {}, [](auto const& item) { return item.first; });
     std::vector<Peer> neighbours;
     for (std::size_t distance = 1; distance <= ring.size(); distance *= 2)
@@ -53,7 +54,7 @@
 
 namespace {
 
-LoadMember member_of(Peer const& peer)
+LoadMember to_load_member(Peer const& peer)
 {
     return {peer.load_address, peer.group, peer.processor_permille, Core::hash_bytes(peer.name)};
 }
@@ -67,17 +68,17 @@
         if (peer.group == m_self.group && !peer.load_address.empty())
             relays.push_back(peer);
     }
-    std::ranges::sort(relays, relays_before, member_of);
+    std::ranges::sort(relays, relays_before, to_load_member);
     relays.resize(std::min(count, relays.size()));
     return relays;
 }
 
 LoadMembers PeerView::load_members() const
 {
-    LoadMembers members {member_of(m_self), {}};
+    LoadMembers members {to_load_member(m_self), {}};
     for (auto const& [name, peer] : m_peers) {
         if (!peer.load_address.empty())
-            members.peers.push_back(member_of(peer));
+            members.peers.push_back(to_load_member(peer));
     }
     return members;
 }
@@ -98,17 +99,16 @@
 
 bool PeerView::should_watch() const
 {
-    // An entry that can't reach the platform leaves its place to the next, and keeps trying. Hosts with more processor
-    // come first: who watches decodes whole configurations, which takes a small host long and comes before everybody
-    // else's time.
+    // An entry that cannot reach the platform ranks last and keeps trying. Hosts with more processor time rank first: a
+    // watcher decodes whole configurations, which is slow on a small host and delays the update for all peers.
     auto const rank = [](Peer const& peer) {
         return std::tuple(peer.is_platform_reachable ? 0 : 1,
             std::numeric_limits<unsigned>::max() - peer.processor_permille, Core::hash_bytes(peer.name));
     };
     auto const own_rank = rank(m_self);
-    auto const before = std::ranges::count_if(
+    auto const preceding = std::ranges::count_if(
         m_peers, [&](auto const& item) { return item.second.group == m_self.group && rank(item.second) < own_rank; });
-    return static_cast<std::size_t>(before) < s_watchers_per_group;
+    return static_cast<std::size_t>(preceding) < s_watchers_per_group;
 }
 
 }
--- a/Libraries/LibEntry/PeerView.h
+++ b/Libraries/LibEntry/PeerView.h
@@ -11,35 +11,37 @@
 
 namespace GraniteField::Entry {
 
-/// One entry as another one knows it.
+/// A peer as known to this entry.
 struct Peer {
     std::string name;
-    /// Of which some watch the platform, and one relays loads: a region for entries, a failure domain for gateways.
+    /// Group of entries of which some watch the platform and one relays load reports: a region for entries, a failure
+    /// domain for gateways.
     std::string group;
-    /// `address:port` of its peer port.
+    /// Peer address as `address:port`.
     std::string address;
-    /// When somebody last heard it directly, by this process's clock.
+    /// Time at which any entry last received a message from it directly, by the clock of this process.
     Core::MonotonicTime last_heard;
     bool is_platform_reachable {true};
-    /// Where it takes datagrams about load; empty for none.
+    /// Address that receives load datagrams; empty for none.
     std::string load_address;
-    /// Its host's share of a core, in thousandths; 0 if not known.
+    /// Processor time available to its host, in thousandths of a core; 0 if unknown.
     unsigned processor_permille {0};
 };
 
-/// The entries that one entry knows, itself included: who its neighbours are, and who watches the platform
-/// for a group. No I/O.
+/// The peers that an entry knows. Chooses its neighbours, and decides whether it watches the platform for its group. No
+/// I/O.
 ///
-/// Neighbours are the entries at distances 1, 2, 4, ... behind this one on a ring ordered by the hash of the
-/// names, so that each entry has log2(n) of them and an announcement reaches all in as many steps.
+/// Neighbours are the entries at distances 1, 2, 4, ... after this one on a ring ordered by the hash of the names. Each
+/// entry has log2(n) of them, and an announcement reaches all entries in as many steps.
 class PeerView {
 public:
-    /// An entry that nobody has heard for this long is forgotten.
+    /// Time after which a peer that no entry has received a message from is removed.
     static constexpr Core::Milliseconds s_peer_timeout {45'000};
     static constexpr std::size_t s_max_peers = 4'000;
-    /// Entries of a group that watch the platform. Two, so that one may fail; more would only cost calls.
+    /// Number of entries that watch the platform for a group. A second one covers a failure; more would only add calls.
     static constexpr std::size_t s_watchers_per_group = 2;
-    /// In a fleet of so few all watch: their calls cost little, and few of them are hit at once the more often.
+    /// Number of gateways below which all of them watch the platform. Their calls cost little there, and a failure is
+    /// more likely to hit both watchers of a group.
     static constexpr std::size_t s_small_fleet = 8;
 
     explicit PeerView(Peer self)
@@ -50,23 +52,23 @@
     [[nodiscard]] Peer const& self() const { return m_self; }
     void set_platform_reachable(bool value) { m_self.is_platform_reachable = value; }
 
-    /// Takes what was heard of an entry, directly or from another, if it is newer than what is known.
+    /// Records a peer, received from itself or from another peer, if the record is newer than the known one.
     void note(Peer);
     void remove_timed_out(Core::MonotonicTime now);
 
     [[nodiscard]] std::size_t count() const { return m_peers.size(); }
-    /// This gateway and those that it knows, as the exchange of loads wants them.
+    /// This gateway and the known peers that receive load datagrams.
     [[nodiscard]] LoadMembers load_members() const;
-    /// Rises whenever an entry comes or goes, or has another address, group or share of a core.
+    /// Increases whenever a peer is added or removed, or changes its address, group or processor time.
     [[nodiscard]] std::uint64_t generation() const { return m_generation; }
     [[nodiscard]] std::vector<Peer> neighbours() const;
-    /// Some of the known entries, others at each call, to tell a neighbour of.
+    /// Returns some of the known peers, in rotation, to include in an announcement.
     [[nodiscard]] std::vector<Peer> sample(std::size_t count);
-    /// Whether this entry is among those of its group that watch the platform.
+    /// Whether this entry is one of those that watch the platform for its group.
     [[nodiscard]] bool should_watch() const;
-    /// The same for a gateway, which also watches where there are few.
+    /// Whether this gateway watches the platform. In a small fleet all gateways do.
     [[nodiscard]] bool is_elected() const { return m_peers.size() < s_small_fleet || should_watch(); }
-    /// Those of its group that relay loads before the others.
+    /// The peers of its group that come first in the order of relays.
     [[nodiscard]] std::vector<Peer> preferred_relays(std::size_t count) const;
 
 private:
