--- a/Libraries/LibEntry/PlatformSettings.h
+++ b/Libraries/LibEntry/PlatformSettings.h
@@ -7,25 +7,26 @@
 
 namespace GraniteField::Entry {
 
-/// How an entry talks to the platform.
+/// Settings of an entry's connection to the platform.
 struct PlatformSettings {
     Core::Address address;
     Core::Milliseconds call_timeout {2'000};
-    /// How long one watch waits for a change.
+    /// Longest time for which a watch waits for a change.
     Core::Milliseconds watch_wait {20'000};
-    /// So long after the end of its trouble the store counts as reachable, and what it holds as known. Shortens the
-    /// wait of watches where it is set.
+    /// Time after a fault of the store or its network within which every process has reached it and knows its content.
+    /// If set, it also limits the wait of watches.
     std::optional<Core::Milliseconds> contact_time;
-    /// Within which a change that the store has taken is promised to hold everywhere.
+    /// Time within which a change that the store has accepted must be in force at all gateways.
     std::optional<Core::Milliseconds> apply_limit;
-    /// Within which a failure domain that is drained is promised to get nothing new; nothing where none can be.
+    /// Time within which a drained failure domain must receive no new requests; unset if failure domains cannot be
+    /// drained.
     std::optional<Core::Milliseconds> drain_limit;
-    /// Between tries while the platform does not answer.
+    /// Bounds of the delay between retries while the platform does not respond.
     Core::Milliseconds min_retry_delay {100};
     Core::Milliseconds max_retry_delay {5'000};
-    /// How often the host list is read.
+    /// Interval at which the host list is read.
     Core::Milliseconds host_interval {1'000};
-    /// How often an entry that does not watch looks whether it should.
+    /// Interval at which an entry that does not watch checks whether it should.
     Core::Milliseconds idle_interval {200};
 };
 
