--- a/Libraries/LibEntry/ServerChanges.cpp
+++ b/Libraries/LibEntry/ServerChanges.cpp
@@ -15,7 +15,7 @@
 std::uint64_t digest_of(ServerEntry const& server)
 {
     auto const is_leaving = server.state == Table::BackendServerState::Leaving;
-    // No field holds the sign that parts them.
+    // No field contains the separator.
     return Core::hash_bytes(Core::concat(server.instance, "\n", server.service, "\n", server.address.to_string(), "\n",
         server.failure_domain, "\n", server.slots, "\n", is_leaving ? 1 : 0, "\n",
         server.born.time_since_epoch().count()));
@@ -23,7 +23,7 @@
 
 using ServersByInstance = std::map<std::string_view, ServerEntry const*>;
 
-ServersByInstance by_instance(ServerList const& list)
+ServersByInstance index_by_instance(ServerList const& list)
 {
     ServersByInstance servers;
     for (auto const& server : list.servers)
@@ -47,7 +47,7 @@
     changes.from = from.revision;
     changes.to = to.revision;
     changes.digest = digest_of(to);
-    auto before = by_instance(from);
+    auto before = index_by_instance(from);
     for (auto const& server : to.servers) {
         auto const found = before.find(server.instance);
         if (found == before.end()) {
@@ -99,8 +99,9 @@
 
 void ServerHistory::note_step(std::shared_ptr<ServerList const> list, ServerChanges changes)
 {
-    bool const follows = m_current != nullptr && m_current->revision == changes.from && list->revision == changes.to;
-    if (!follows)
+    bool const is_successor
+        = m_current != nullptr && m_current->revision == changes.from && list->revision == changes.to;
+    if (!is_successor)
         return note(std::move(list));
     add_step(std::move(changes));
     m_current = std::move(list);
@@ -118,19 +119,19 @@
     auto step = std::ranges::find(m_steps, revision, &ServerChanges::from);
     if (step == m_steps.end())
         return std::nullopt;
-    // The last word on each server counts.
-    std::map<std::string, ServerEntry const*> last;
+    // The latest change of each server counts.
+    std::map<std::string, ServerEntry const*> latest;
     for (; step != m_steps.end(); ++step) {
         for (auto const& server : step->changed)
-            last[server.instance] = &server;
+            latest[server.instance] = &server;
         for (auto const& instance : step->removed)
-            last[instance] = nullptr;
+            latest[instance] = nullptr;
     }
     ServerChanges changes;
     changes.from = revision;
     changes.to = m_steps.back().to;
     changes.digest = m_steps.back().digest;
-    for (auto const& [instance, server] : last) {
+    for (auto const& [instance, server] : latest) {
         if (server != nullptr)
             changes.changed.push_back(*server);
         else
--- a/Libraries/LibEntry/ServerChanges.h
+++ b/Libraries/LibEntry/ServerChanges.h
@@ -12,42 +12,42 @@
 
 namespace GraniteField::Entry {
 
-/// What turns a list of backend servers into a later one.
+/// Changes between two revisions of the list of backend servers.
 struct ServerChanges {
-    /// Revision of the list that they lead from; 0 for the empty one.
+    /// Revision that the changes apply to; 0 for the empty list.
     ListRevision from;
     ListRevision to;
-    /// Servers that are new, or described otherwise.
+    /// Servers that were added or whose description changed.
     std::vector<ServerEntry> changed;
-    /// Instances of servers that are gone.
+    /// Instances of removed servers.
     std::vector<std::string> removed;
-    /// Of the list that they lead to.
+    /// Digest of the resulting list.
     std::uint64_t digest {0};
 };
 
-/// A number that two lists share when they hold the same servers, whatever their order. How long servers are cold is
-/// left out: each process counts it by its own clock.
+/// Digest of the servers of a list, independent of their order. The remaining cold time is not included, since each
+/// process counts it by its own clock.
 [[nodiscard]] std::uint64_t digest_of(ServerList const&);
 
 [[nodiscard]] ServerChanges difference(ServerList const& from, ServerList const& to);
 
-/// The list with the changes; nothing where they lead from another list. Two processes may know different lists under
-/// one revision, since a removal has no revision of its own, which only the digest tells. `current` may be null.
+/// Applies changes to a list; `current` may be null. Returns nothing if they were made for another list. A removal has
+/// no revision of its own, so that two processes may have different lists under one revision; the digest detects this.
 [[nodiscard]] std::optional<ServerList> apply_changes(
     ServerChanges const&, std::shared_ptr<ServerList const> const& current);
 
-/// The latest steps of the list of backend servers, so that a peer that is a few revisions behind gets the changes
-/// alone: whole lists cost bytes by gateways, times servers, times changes, which all grow with the fleet.
+/// The latest changes of the list of backend servers, so that a peer that is a few revisions behind receives only
+/// these. Whole lists would cost bytes in proportion to gateways, servers and changes, which all grow with the fleet.
 class ServerHistory {
 public:
     static constexpr std::size_t s_max_steps = 64;
 
-    /// Notes the list that is known now.
+    /// Records the current list.
     void note(std::shared_ptr<ServerList const>);
-    /// The same for a list that came as these changes.
+    /// Records a list that was received as these changes.
     void note_step(std::shared_ptr<ServerList const>, ServerChanges);
 
-    /// The changes that lead from that revision to the present list; nothing when they are not known.
+    /// Returns the changes from that revision to the current list; nothing if the revision is not in the history.
     [[nodiscard]] std::optional<ServerChanges> changes_since(ListRevision) const;
 
 private:
