--- a/Libraries/LibEntry/PeerView.h
+++ b/Libraries/LibEntry/PeerView.h
@@ -40,8 +40,8 @@
     static constexpr std::size_t s_max_peers = 4'000;
     /// Number of entries that watch the platform for a group. A second one covers a failure; more would only add calls.
     static constexpr std::size_t s_watchers_per_group = 2;
-    /// Number of gateways below which all of them watch the platform. Their calls cost little there, and a failure is
-    /// more likely to hit both watchers of a group.
+    /// Largest fleet in which all gateways watch the platform. Their calls cost little there, and a failure is more
+    /// likely to hit all watchers of a group at once.
     static constexpr std::size_t s_small_fleet = 8;
 
     explicit PeerView(Peer self)
--- a/Libraries/LibEntry/SharedDrains.h
+++ b/Libraries/LibEntry/SharedDrains.h
@@ -10,20 +10,20 @@
 
 namespace GraniteField::Entry {
 
-/// Version of the list of drains; a later list has a higher one.
+/// Version of the list of drains. Increases with each change.
 using DrainsVersion = Core::StrongInteger<struct DrainsVersionTag>;
 
-/// What gets nothing new, whatever its backend servers say of themselves.
+/// Hosts and failure domains that receive no new requests, regardless of what their backend servers report.
 struct DrainList {
     DrainsVersion version;
-    /// Hosts that are leaving by the platform's list: IP numbers, or addresses where a host has several.
+    /// Hosts that the platform's host list marks as leaving: IP numbers, or addresses where a host has several.
     std::set<std::string> hosts;
-    /// Failure domains that the operators drain.
+    /// Failure domains that are drained by the operators.
     std::set<std::string> failure_domains;
 };
 
-/// The newest list of drains that this process has, from the platform or from a peer. An older one never takes
-/// its place.
+/// The newest list of drains of this process, received from the platform or from a peer. It is never replaced by an
+/// older one. Any thread.
 class SharedDrains {
 public:
     [[nodiscard]] DrainList current() const
@@ -38,7 +38,7 @@
         return m_drains.version;
     }
 
-    /// Takes the list if it is newer, and says whether it was.
+    /// Stores the list if it is newer. Returns whether it was.
     bool offer(DrainList drains)
     {
         std::lock_guard const lock(m_mutex);
--- a/Libraries/LibEntry/SharedMembership.h
+++ b/Libraries/LibEntry/SharedMembership.h
@@ -11,44 +11,45 @@
 
 namespace GraniteField::Entry {
 
-/// A gateway as the exchange of loads knows it.
+/// A gateway as a member of the load exchange.
 struct LoadMember {
-    /// `address:port` where it takes datagrams about load.
+    /// `address:port` that receives load datagrams.
     std::string address;
     /// Gateways of one group share a relay.
     std::string group;
-    /// Its host's share of a core, in thousandths; 0 if not known.
+    /// Processor time available to its host, in thousandths of a core; 0 if unknown.
     unsigned processor_permille {0};
-    /// Settles the order among hosts of the same share, alike at every gateway.
+    /// Tie-breaker among hosts with the same processor time, equal at all gateways.
     std::uint64_t order {0};
 
     bool operator==(LoadMember const&) const = default;
 };
 
-/// Whether `first` relays rather than `second`: hosts with more processor do, which feel it less.
+/// Whether `first` comes before `second` in the order of relays. Hosts with more processor time come first, since
+/// relaying costs them a smaller share of it.
 [[nodiscard]] inline bool relays_before(LoadMember const& first, LoadMember const& second)
 {
     return std::pair(second.processor_permille, first.order) < std::pair(first.processor_permille, second.order);
 }
 
-/// The gateways that exchange loads.
+/// The gateways that exchange load reports.
 struct LoadMembers {
     LoadMember self;
     std::vector<LoadMember> peers;
 };
 
-/// What the peer exchange knows of the other entries and the router needs.
+/// Results of peer discovery that the peer exchange shares with the router and the load exchange. Any thread.
 class SharedMembership {
 public:
-    /// Entries that are known to be there, without this one.
+    /// Number of known entries other than this one.
     std::atomic<std::size_t> peer_count {0};
-    /// Whether this entry has had the time to get to know the others.
+    /// Whether this entry has run long enough to have discovered its peers.
     std::atomic<bool> is_discovery_complete {false};
 
-    /// Whether another entry is there: one is known, or a connection to a seed has come up.
+    /// Whether any other entry was found: one is known, or a connection to a seed is up.
     std::atomic<bool> has_found_peers {false};
 
-    /// Null before they are known. Another object whenever they change.
+    /// Null before discovery. Points to a new object after each change.
     [[nodiscard]] std::shared_ptr<LoadMembers const> load_members() const
     {
         std::lock_guard const lock(m_mutex);
--- a/Libraries/LibEntry/SharedServers.h
+++ b/Libraries/LibEntry/SharedServers.h
@@ -12,20 +12,20 @@
 
 namespace GraniteField::Entry {
 
-/// Revision of a list of backend servers; a later list has a higher one.
+/// Revision of a list of backend servers. Increases with each later list.
 using ListRevision = Core::StrongInteger<struct ListRevisionTag>;
 
 using Platform::ServerEntry;
 
 struct ServerList {
     ListRevision revision;
-    /// It holds servers that are missing in the store, in the hope that they come back. Not to be handed to others,
-    /// who may know better.
+    /// The list still contains servers that are missing in the store, since they may become available again. It is not
+    /// sent to peers, which may have newer information.
     bool is_provisional {false};
     std::vector<ServerEntry> servers;
 };
 
-/// The newest list of backend servers in this process. Any thread; an older list never takes the place of a newer.
+/// The newest list of backend servers in this process. It is never replaced by an older one. Any thread.
 class SharedServers {
 public:
     /// Null before the first list.
@@ -49,28 +49,29 @@
         return m_settled ? m_settled->revision : ListRevision();
     }
 
-    /// Takes the list if it is newer, and says whether it was.
+    /// Stores the list if it is newer. Returns whether it was.
     bool offer(ServerList list)
     {
         std::lock_guard const lock(m_mutex);
         if (m_list && list.revision <= m_list->revision)
             return false;
-        take(std::move(list));
+        store(std::move(list));
         return true;
     }
 
-    /// Takes a list that this process made itself, also one of the same revision; never an older one.
+    /// Stores a list that this process made, unless the stored one has a higher revision. Returns whether it was
+    /// stored.
     bool replace(ServerList list)
     {
         std::lock_guard const lock(m_mutex);
         if (m_list && list.revision < m_list->revision)
             return false;
-        take(std::move(list));
+        store(std::move(list));
         return true;
     }
 
 private:
-    void take(ServerList list)
+    void store(ServerList list)
     {
         m_list = std::make_shared<ServerList const>(std::move(list));
         if (!m_list->is_provisional)
--- a/Libraries/LibEntry/SharedTable.h
+++ b/Libraries/LibEntry/SharedTable.h
@@ -10,16 +10,16 @@
 
 namespace GraniteField::Entry {
 
-/// By which way a table came.
+/// Source of a table.
 enum class TableSource : std::uint8_t {
     StoreList,
     StoreWatch,
-    /// All of it from a peer, or what differs from the one before.
+    /// A whole table from a peer, or only the edits since an earlier version.
     PeerWhole,
     PeerEdits,
 };
 
-/// The name of a way in the log and in metrics.
+/// Name of the source in the log and in metrics.
 [[nodiscard]] constexpr std::string_view to_string(TableSource source)
 {
     switch (source) {
@@ -35,8 +35,8 @@
     return "peer-edits";
 }
 
-/// The table in force in this process. Readers on any thread keep the one that they took; an older table
-/// never takes the place of a newer one.
+/// The table in force in this process. Readers on any thread keep the table that they obtained. It is never replaced by
+/// an older one.
 class SharedTable {
 public:
     /// The table in force, or null before the first one.
@@ -46,14 +46,14 @@
         return m_table;
     }
 
-    /// By which way it came; of no meaning before the first table.
+    /// Source of the table in force; meaningless before the first table.
     [[nodiscard]] TableSource source() const
     {
         std::lock_guard const lock(m_mutex);
         return m_source;
     }
 
-    /// Puts the table in force if it is newer than the present one, and says whether it was.
+    /// Puts the table in force if it is newer than the current one. Returns whether it was.
     bool offer(Table::Table table, TableSource source = TableSource::StoreList)
     {
         std::lock_guard const lock(m_mutex);
