--- a/Libraries/LibEntry/PeerExchange.cpp
+++ b/Libraries/LibEntry/PeerExchange.cpp
@@ -324,7 +324,7 @@
     auto answer = make_envelope();
     *answer.mutable_table() = to_message(known_from, table->version(), *edits);
     auto frame = to_frame(answer);
-    m_table_frames.keep(known_from, table->version(), frame);
+    m_table_frames.store(known_from, table->version(), frame);
     return frame;
 }
 
@@ -358,7 +358,7 @@
     auto answer = make_envelope();
     *answer.mutable_servers() = to_message(*changes, Core::monotonic_now());
     auto frame = to_frame(answer);
-    m_servers_frames.keep(known_from, list->revision, frame);
+    m_servers_frames.store(known_from, list->revision, frame);
     return frame;
 }
 
@@ -376,7 +376,7 @@
         if (!table || !m_table.offer(*std::move(table), is_whole ? TableSource::PeerWhole : TableSource::PeerEdits))
             return;
         // Forward the update to peers as received.
-        m_table_frames.keep(from, to, frame);
+        m_table_frames.store(from, to, frame);
         auto accepted = m_table.current();
         if (accepted->version() == to)
             m_history.note_step(std::move(accepted), from, std::move(edits));
@@ -411,7 +411,7 @@
         if (!m_servers.offer(*std::move(list)))
             return;
         // Forward the update to peers as received.
-        m_servers_frames.keep(changes->from, changes->to, frame);
+        m_servers_frames.store(changes->from, changes->to, frame);
         auto const accepted = m_servers.settled();
         if (accepted && accepted->revision == changes->to)
             m_servers_history.note_step(accepted, *std::move(changes));
--- a/Libraries/LibEntry/StateVersions.h
+++ b/Libraries/LibEntry/StateVersions.h
@@ -8,19 +8,19 @@
 
 namespace GraniteField::Entry {
 
-/// The versions of what entries hand on to each other.
+/// Versions of the state that entries share.
 struct StateVersions {
     Core::TableVersion table;
     DrainsVersion drains;
     ListRevision servers;
 
-    /// Whether anything of it is newer.
+    /// Whether any part is newer than in `other`.
     [[nodiscard]] bool is_ahead_of(StateVersions const& other) const
     {
         return table > other.table || drains > other.drains || servers > other.servers;
     }
 
-    /// Takes over what is newer in the other ones.
+    /// Adopts the newer version of each part.
     void merge(StateVersions const& other)
     {
         table = std::max(table, other.table);
--- a/Libraries/LibEntry/UpdateFrameCache.h
+++ b/Libraries/LibEntry/UpdateFrameCache.h
@@ -8,40 +8,40 @@
 
 namespace GraniteField::Entry {
 
-/// Messages that lead from earlier versions of something to the present one, ready to be sent. What a gateway was sent
-/// it hands on as it is, and what it makes it makes once for all peers: a small host would spend much of its time on a
-/// message from all of the table, or of the list of servers, for each peer that begins anew.
+/// Cache of serialized updates from earlier versions to the current one. A gateway forwards a received update unchanged
+/// and serializes its own only once for all peers. Otherwise a small host would spend much of its time on serializing
+/// the whole table or server list for each peer that restarts.
 template <typename Version>
 class UpdateFrameCache {
 public:
-    /// Peers are at the version before, or a few behind, or have none.
-    static constexpr std::size_t s_most = 8;
+    /// Number of cached updates. Peers are one or a few versions behind, or have no version.
+    static constexpr std::size_t s_max_frames = 8;
 
-    /// Keeps a message; one that leads to a newer version than the others takes their place.
-    void keep(Version from, Version to, zmq::message_t& frame)
+    /// Stores a message. If it updates to a newer version than the stored ones, it replaces them.
+    void store(Version from, Version to, zmq::message_t& frame)
     {
-        if (to < m_version)
+        if (to < m_target_version)
             return;
-        if (to > m_version)
+        if (to > m_target_version)
             m_frames.clear();
-        m_version = to;
-        if (m_frames.size() < s_most)
+        m_target_version = to;
+        if (m_frames.size() < s_max_frames)
             m_frames[from].copy(frame);
     }
 
-    /// The message from that version to `to`, which shares its bytes with the kept one.
+    /// Returns the message that updates from `from` to `to`, sharing its bytes with the stored one.
     [[nodiscard]] std::optional<zmq::message_t> find(Version from, Version to)
     {
         auto const found = m_frames.find(from);
-        if (to != m_version || found == m_frames.end())
+        if (to != m_target_version || found == m_frames.end())
             return std::nullopt;
-        zmq::message_t shared;
-        shared.copy(found->second);
-        return shared;
+        zmq::message_t copy;
+        copy.copy(found->second);
+        return copy;
     }
 
 private:
-    Version m_version;
+    Version m_target_version;
     std::map<Version, zmq::message_t> m_frames;
 };
 
