--- a/Libraries/LibEntry/TableFollower.cpp
+++ b/Libraries/LibEntry/TableFollower.cpp
@@ -42,9 +42,9 @@
             if (m_backoff.is_stopped())
                 return;
             m_metrics.counter("granitefield_platform_failures_total").add();
-            LOG_EVERY_N(WARNING, 10) << "table: the platform gives no table: " << error.what();
+            LOG_EVERY_N(WARNING, 10) << "table: cannot read the table from the platform: " << error.what();
             m_peers.set_platform_reachable(false);
-            // A watch can't tell what was missed meanwhile; the next read does.
+            // A watch does not report changes made before it started; the next read does.
             m_has_read = false;
             m_backoff.wait_after_failure();
         }
--- a/Libraries/LibEntry/TableFollower.h
+++ b/Libraries/LibEntry/TableFollower.h
@@ -11,9 +11,9 @@
 
 namespace GraniteField::Entry {
 
-/// Keeps the table in step with the platform, on a thread of its own: reads it, then waits on a watch. Only
-/// the entries that PeerExchange names do so; the others learn from their peers. When the platform is down,
-/// the last table stays in force, and tries come less and less often.
+/// Follows the table in the platform's store on a thread of its own: reads it, then waits on a watch. Only the entries
+/// that PeerExchange elects do so; the others receive it from their peers. While the platform is down, the last table
+/// stays in force and calls are retried with backoff.
 class TableFollower {
 public:
     /// `on_update` is called on this thread when there is a newer table.
--- a/Libraries/LibEntry/TableHistory.h
+++ b/Libraries/LibEntry/TableHistory.h
@@ -9,12 +9,12 @@
 
 namespace GraniteField::Entry {
 
-/// The latest steps of the table, so that a peer that is a few versions behind gets the edits alone.
+/// The latest edits of the table, so that a peer that is a few versions behind receives only these.
 class TableHistory {
 public:
     static constexpr std::size_t s_max_steps = 64;
 
-    /// Notes the table that is in force now.
+    /// Records the table in force.
     void note(std::shared_ptr<Table::Table const> table)
     {
         if (m_current == table)
@@ -24,8 +24,8 @@
         m_current = std::move(table);
     }
 
-    /// The same for a table that came as these edits to that version. Spares each gateway on a change's way working
-    /// them out once more.
+    /// Records a table that was received as edits to version `from`. Avoids computing the difference again at each
+    /// gateway that forwards the update.
     void note_step(std::shared_ptr<Table::Table const> table, Core::TableVersion from, Table::Change edits)
     {
         if (m_current == nullptr || m_current->version() != from)
@@ -34,7 +34,7 @@
         m_current = std::move(table);
     }
 
-    /// The edits that lead from that version to the present table; nothing when they are not known.
+    /// Returns the edits from that version to the current table; nothing if the version is not in the history.
     [[nodiscard]] std::optional<Table::Change> edits_since(Core::TableVersion version) const
     {
         auto step = m_steps.begin();
