--- a/Libraries/LibEntry/WatchDuty.cpp
+++ b/Libraries/LibEntry/WatchDuty.cpp
@@ -8,19 +8,19 @@
 
 namespace {
 
-/// Parts of the time within which a process that reaches the store counts on being in step with it. The first gateways
-/// step in after one of them, the last after two, so that some do when all watchers have died, and not all at once;
-/// what they learn is known to the others some 200 ms later.
+/// Parts of the contact time. The silence timeouts of gateways lie between one and two parts, so that some gateways
+/// watch when all watchers have died, but not all at once. The others receive what these read some 200 ms later.
 constexpr int s_silence_parts = 4;
 
-/// Parts of the promised time within which a change holds. Who is behind asks the store after one to two of them; two
-/// more are left for an answer of the store, and for a second call where the first one is lost.
+/// Parts of the time within which a change must be in force. A gateway that is behind reads from the store after one to
+/// two parts. Two more are left for the store's answer, and for a second call if the first one is lost.
 constexpr int s_behind_parts = 5;
 
-/// From once to twice that time, for each gateway another.
-Core::Milliseconds spread_over_gateways(Core::Milliseconds least, std::uint64_t order)
+/// Returns a time between `min_time` and twice that, depending on the gateway.
+Core::Milliseconds spread_over_gateways(Core::Milliseconds min_time, std::uint64_t order)
 {
-    return least + Core::Milliseconds(static_cast<std::int64_t>(order % static_cast<std::uint64_t>(least.count() + 1)));
+    return min_time
+        + Core::Milliseconds(static_cast<std::int64_t>(order % static_cast<std::uint64_t>(min_time.count() + 1)));
 }
 
 WatchElection::Settings election_settings(
@@ -51,8 +51,8 @@
 void WatchDuty::set_elected(bool value)
 {
     std::lock_guard const lock(m_mutex);
-    // Ticks of another thread would hide that the one which takes reports is late.
-    if (!m_takes_reports)
+    // Ticks of another thread would hide a stall of the thread that passes reports.
+    if (!m_receives_reports)
         m_election.note_tick(Core::monotonic_now());
     if (std::exchange(m_is_elected, value) == value)
         return;
@@ -60,7 +60,7 @@
     m_signal.notify_all();
 }
 
-void WatchDuty::look_at_versions(Core::MonotonicTime now)
+void WatchDuty::record_versions(Core::MonotonicTime now)
 {
     auto const table = m_table.current();
     StateVersions const own {table ? table->version() : Core::TableVersion(),
@@ -77,17 +77,17 @@
 void WatchDuty::note_report(StoreReport const& report, Core::MonotonicTime now)
 {
     std::lock_guard const lock(m_mutex);
-    m_takes_reports = true;
+    m_receives_reports = true;
     m_election.note_tick(now);
-    look_at_versions(now);
+    record_versions(now);
     m_election.note_report(report, now);
-    wake_if_sooner(now);
+    wake_if_earlier(now);
 }
 
-void WatchDuty::wake_if_sooner(Core::MonotonicTime now)
+void WatchDuty::wake_if_earlier(Core::MonotonicTime now)
 {
-    // They have worked out when to look from what was known then. Without this one that had learned just now that it is
-    // behind looked up to half the contact time later.
+    // The followers chose the time of their next check before this report. Without a wake-up, a gateway that has just
+    // learned that it is behind would check up to half the contact time too late.
     if (m_election.next_check(now) >= m_next_check)
         return;
     m_next_check = Core::MonotonicTime::max();
@@ -97,14 +97,14 @@
 StoreReport WatchDuty::report(Core::MonotonicTime now)
 {
     std::lock_guard const lock(m_mutex);
-    look_at_versions(now);
+    record_versions(now);
     return m_election.report(now);
 }
 
 StoreKnowledge WatchDuty::knowledge(Core::MonotonicTime now)
 {
     std::lock_guard const lock(m_mutex);
-    look_at_versions(now);
+    record_versions(now);
     return m_election.knowledge(now);
 }
 
@@ -121,7 +121,7 @@
     m_signal.notify_all();
 }
 
-void WatchDuty::tell_change(bool is_on_duty, Core::MonotonicTime now)
+void WatchDuty::log_duty_change(bool is_on_duty, Core::MonotonicTime now)
 {
     if (std::exchange(m_was_on_duty, is_on_duty) == is_on_duty)
         return;
@@ -138,12 +138,12 @@
 {
     auto& duty = m_duty.get();
     std::unique_lock lock(duty.m_mutex);
-    bool has_waited = !std::exchange(m_has_begun, true);
+    bool has_waited = !std::exchange(m_has_started, true);
     while (!duty.m_is_stopped) {
         auto const now = Core::monotonic_now();
-        duty.look_at_versions(now);
+        duty.record_versions(now);
         bool const is_on_duty = duty.m_election.is_on_duty(now);
-        duty.tell_change(is_on_duty, now);
+        duty.log_duty_change(is_on_duty, now);
         if (is_on_duty && !has_waited)
             return FollowerTurn::GoOn;
         if (is_on_duty)
--- a/Libraries/LibEntry/WatchDuty.h
+++ b/Libraries/LibEntry/WatchDuty.h
@@ -14,36 +14,35 @@
 
 namespace GraniteField::Entry {
 
-/// The election of the gateways that watch the platform's store, shared by the threads of a gateway: followers of the
-/// store wait here until this gateway is on duty, the peer exchange sets whether it is elected, the exchange of loads
-/// carries the reports.
+/// Connects WatchElection to the threads of a gateway: followers of the store wait here until this gateway is on duty,
+/// the peer exchange sets whether it is elected, and the load exchange passes the reports of other gateways.
 class WatchDuty {
 public:
     /// Default of the time within which a change must be in force.
     static constexpr Core::Milliseconds s_apply_limit {3'000};
 
-    /// `order` differs between gateways and spreads their silence timeouts. `apply_limit` is the time within which a
-    /// change must be in force everywhere. `drains` is null if failure domains cannot be drained.
+    /// `contact_time` is the time within which a process that can reach the store is up to date with it. `order`
+    /// differs between gateways and spreads their timeouts. `apply_limit` is the time within which a change must be in
+    /// force everywhere. `drains` is null if failure domains cannot be drained.
     WatchDuty(Core::Milliseconds contact_time, std::uint64_t order, SharedTable const&, SharedServers const&,
         Observe::EventLog&, Observe::MetricRegistry&, Core::Milliseconds apply_limit = s_apply_limit,
         SharedDrains const* drains = nullptr);
 
     /// Called with each tick of the peer exchange.
     void set_elected(bool);
-    /// This gateway has just started, and the others may not know it yet.
+    /// Records that this gateway has just started, and that its peers may not know it yet.
     void note_joining(WatchElection::PeerDiscovery, Core::MonotonicTime now);
-    /// Takes a report of another gateway, and looks at the versions of this one. Called with each tick of the exchange
-    /// of loads.
+    /// Records a report of another gateway, and the versions of this one. Called with each tick of the load exchange.
     void note_report(StoreReport const&, Core::MonotonicTime now);
     [[nodiscard]] StoreReport report(Core::MonotonicTime now);
-    /// What this gateway knows about how current its state is. Any thread.
+    /// Returns how current the state of this gateway is. Any thread.
     [[nodiscard]] StoreKnowledge knowledge(Core::MonotonicTime now);
     /// Whether this gateway follows the store itself. Any thread.
     [[nodiscard]] bool follows_store();
-    /// Ends all waits, now and later.
+    /// Ends all current and later waits.
     void stop();
 
-    /// A follower's part in it (FollowerTurns).
+    /// Interface for one follower of the store (Platform::FollowerTurns).
     class Follower {
     public:
         Follower(WatchDuty& duty, WatchElection::Watch watch)
@@ -52,7 +51,7 @@
         {
         }
 
-        /// Waits until the store is to be asked.
+        /// Blocks until this gateway is on duty or the follower is to stop.
         [[nodiscard]] Platform::FollowerTurn wait_for_turn();
         void note_call(Core::Milliseconds limit);
         void note_answer();
@@ -62,14 +61,14 @@
     private:
         std::reference_wrapper<WatchDuty> m_duty;
         WatchElection::Watch m_watch;
-        bool m_has_begun {false};
+        bool m_has_started {false};
     };
 
 private:
-    /// Wakes the followers if they need to look earlier than planned.
-    void wake_if_sooner(Core::MonotonicTime now);
-    void look_at_versions(Core::MonotonicTime now);
-    void tell_change(bool is_on_duty, Core::MonotonicTime now);
+    /// Wakes waiting followers if their next check is now due earlier.
+    void wake_if_earlier(Core::MonotonicTime now);
+    void record_versions(Core::MonotonicTime now);
+    void log_duty_change(bool is_on_duty, Core::MonotonicTime now);
 
     SharedTable const& m_table;
     SharedServers const& m_servers;
@@ -80,11 +79,11 @@
     std::condition_variable m_signal;
     WatchElection m_election;
     bool m_is_elected {false};
-    /// There is an exchange of loads, whose thread takes the reports.
-    bool m_takes_reports {false};
+    /// Set once the thread of the load exchange has passed a report.
+    bool m_receives_reports {false};
     bool m_was_on_duty {false};
     bool m_is_stopped {false};
-    /// When the followers that wait for their turn look next.
+    /// Time of the next check by the waiting followers.
     Core::MonotonicTime m_next_check {Core::MonotonicTime::max()};
 };
 
