--- a/Libraries/LibEntry/WatchElection.cpp
+++ b/Libraries/LibEntry/WatchElection.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Time until the next look while the thread that takes reports is late.
+/// Interval of checks while the thread that receives reports is late.
 constexpr Core::Milliseconds s_late_check_interval {100};
 
 }
@@ -29,24 +29,24 @@
 void WatchElection::note_tick(Core::MonotonicTime now)
 {
     bool const was_late = m_running.was_late();
-    auto const lost = m_running.note_tick(now);
-    if (lost.count() == 0)
+    auto const stalled = m_running.note_tick(now);
+    if (stalled.count() == 0)
         return;
     // Keep the time accumulated before; repeated stalls would otherwise restart the timeout forever.
-    m_silent_since = silent_since() + lost;
-    // In a process whose ticks are all late, a new wait at each of them would never end.
+    m_silent_since = silent_since() + stalled;
+    // In a process whose ticks are all late, waiting again after each of them would never end.
     if (!was_late)
         m_report_wait_end = now + s_min_report_wait;
     if (m_behind_since)
-        *m_behind_since += lost;
-    // An answer that has come is noted only when its thread runs.
+        *m_behind_since += stalled;
+    // An answer that has arrived is recorded only when its thread runs.
     for (auto& contact : m_contacts)
-        contact.overdue_at += lost;
+        contact.overdue_at += stalled;
 }
 
 void WatchElection::note_joining(PeerDiscovery discovery, Core::MonotonicTime now)
 {
-    // Until the next tick, which may come late.
+    // Covers the time until the next tick, which may be late.
     m_report_wait_end = std::max(m_report_wait_end, now + m_running.longest_gap());
     if (discovery == PeerDiscovery::Found)
         m_silent_since = std::max(m_silent_since, now);
@@ -54,23 +54,23 @@
 
 void WatchElection::note_report(StoreReport const& report, Core::MonotonicTime now)
 {
-    if (report.versions.table > std::max(m_heard.versions.table, m_own.table))
+    if (report.versions.table > std::max(m_received_report.versions.table, m_own.table))
         m_table_known_since = now;
-    if (report.any_healthy_at && m_heard.any_healthy_at)
-        m_report_gaps.note(Core::elapsed(*m_heard.any_healthy_at, *report.any_healthy_at));
-    m_heard.merge(report);
-    if (!m_heard.versions.is_ahead_of(m_own) || m_behind_since)
+    if (report.any_healthy_at && m_received_report.any_healthy_at)
+        m_report_gaps.note(Core::elapsed(*m_received_report.any_healthy_at, *report.any_healthy_at));
+    m_received_report.merge(report);
+    if (!m_received_report.versions.is_ahead_of(m_own) || m_behind_since)
         return;
     m_behind_since = now;
-    m_wanted = m_heard.versions;
+    m_missing_versions = m_received_report.versions;
 }
 
 void WatchElection::note_versions(StateVersions const& versions, Core::MonotonicTime now)
 {
-    if (versions.table > std::max(m_heard.versions.table, m_own.table))
+    if (versions.table > std::max(m_received_report.versions.table, m_own.table))
         m_table_known_since = now;
     m_own.merge(versions);
-    if (!m_behind_since || m_wanted.is_ahead_of(m_own))
+    if (!m_behind_since || m_missing_versions.is_ahead_of(m_own))
         return;
     m_behind_since.reset();
     note_report({}, now);
@@ -120,15 +120,15 @@
 
 StoreKnowledge WatchElection::knowledge(Core::MonotonicTime now) const
 {
-    auto const heard = is_healthy(now) ? std::optional(now) : m_heard.any_healthy_at;
+    auto const last_healthy = is_healthy(now) ? std::optional(now) : m_received_report.any_healthy_at;
     auto versions = m_own;
-    versions.merge(m_heard.versions);
-    return {versions, m_table_known_since, heard};
+    versions.merge(m_received_report.versions);
+    return {versions, m_table_known_since, last_healthy};
 }
 
 StoreReport WatchElection::report(Core::MonotonicTime now) const
 {
-    StoreReport report = m_heard;
+    StoreReport report = m_received_report;
     report.versions.merge(m_own);
     if (!is_healthy(now))
         return report;
@@ -140,12 +140,13 @@
 
 Core::MonotonicTime WatchElection::silent_since() const
 {
-    return std::max(m_heard.any_healthy_at.value_or(m_silent_since), m_silent_since);
+    return std::max(m_received_report.any_healthy_at.value_or(m_silent_since), m_silent_since);
 }
 
 Core::Milliseconds WatchElection::silence_timeout() const
 {
-    // Where hosts run well, changes must be in force in time although all watchers are gone.
+    // The timeout adapts to the gaps between reports only in a slow process. On other hosts, changes must be in force
+    // in time even if all watchers have failed.
     return m_running.is_slow() ? m_report_gaps.silence_limit(m_settings.silence_timeout) : m_settings.silence_timeout;
 }
 
@@ -170,17 +171,17 @@
 {
     if (m_is_elected)
         return true;
-    auto const read_time = behind_deadline();
-    bool const is_behind = read_time && now >= *read_time;
+    auto const read_due_at = behind_deadline();
+    bool const is_behind = read_due_at && now >= *read_due_at;
     if (m_took_over_at) {
-        bool const is_relieved = m_heard.elected_healthy_at
-            && Core::elapsed(*m_heard.elected_healthy_at, now) <= s_max_report_age && !is_behind
+        bool const is_replaced = m_received_report.elected_healthy_at
+            && Core::elapsed(*m_received_report.elected_healthy_at, now) <= s_max_report_age && !is_behind
             && Core::elapsed(*m_took_over_at, now) >= s_min_duty_time;
-        if (is_relieved)
+        if (is_replaced)
             m_took_over_at.reset();
-        return !is_relieved;
+        return !is_replaced;
     }
-    // Reports may have arrived that the late thread has yet to take.
+    // The late thread may not have processed reports that have already arrived.
     if (m_running.is_late(now) || now < m_earliest_retry || (!is_behind && !is_store_suspected(now)))
         return false;
     m_took_over_at = now;
--- a/Libraries/LibEntry/WatchElection.h
+++ b/Libraries/LibEntry/WatchElection.h
@@ -20,7 +20,7 @@
     /// The newest versions known to any gateway.
     StateVersions versions;
 
-    /// Takes the newer parts of another report.
+    /// Adopts the newer parts of another report.
     void merge(StoreReport const& other);
 };
 
@@ -36,9 +36,9 @@
 
 /// Decides whether this gateway watches the platform's store. Only a few gateways in each failure domain are elected to
 /// watch, since the rate of calls that the store accepts does not grow with the fleet. The others rely on two reports,
-/// which arrive with each datagram about load: that some watch is healthy, and that no gateway has a newer version.
-/// A gateway that misses either report for too long watches the store itself, whether the watchers are dead, hung or
-/// partitioned. No I/O and no clock.
+/// which arrive with each load datagram: that some watch is healthy, and that no gateway has a newer version. A gateway
+/// that misses either report for too long watches the store itself, whether the watchers are dead, hung or partitioned.
+/// No I/O and no clock.
 class WatchElection {
 public:
     /// The watched objects, each with its own call.
@@ -71,31 +71,31 @@
         /// Time after which a newer version that peers know of and that was not received is read from the store. Peers
         /// forward it within some 500 ms; reading it at every gateway would only delay that.
         Core::Milliseconds behind_timeout {700};
-        /// First delay after a failed call of a gateway that is behind. It doubles with each failure, up to the
+        /// Delay after the first failed call of a gateway that is behind. It doubles with each failure, up to the
         /// silence timeout.
         Core::Milliseconds min_retry_delay {100};
         /// Whether drains are watched.
         DrainsWatch drains {DrainsWatch::No};
     };
 
-    /// Shortest time for which a gateway that was not elected watches. Hysteresis against frequent changes.
+    /// Shortest time for which a gateway that was not elected watches, so that it does not start and stop repeatedly.
     static constexpr Core::Milliseconds s_min_duty_time {1'000};
-    /// Age of a report of an elected watcher up to which the watcher counts as healthy.
+    /// Age of a report up to which an elected watcher counts as healthy.
     static constexpr Core::Milliseconds s_max_report_age {400};
-    /// Time to wait for reports after a stall of this process: three intervals of the exchange of loads.
+    /// Time to wait for reports after a stall of this process: three intervals of the load exchange.
     static constexpr Core::Milliseconds s_min_report_wait {400};
 
-    WatchElection(Settings settings, Core::MonotonicTime begun)
+    WatchElection(Settings settings, Core::MonotonicTime started_at)
         : m_settings(settings)
-        , m_silent_since(begun)
-        , m_running(begun)
+        , m_silent_since(started_at)
+        , m_running(started_at)
     {
     }
 
     void set_elected(bool value);
 
-    /// Records a tick of the thread that takes reports, due at intervals of RunningTime. Time in which it did not run
-    /// is not counted: otherwise all gateways of a stalled or overloaded host would start to watch.
+    /// Records a tick of the thread that receives reports, due at intervals of RunningTime. Time in which that thread
+    /// did not run is not counted: otherwise all gateways of a stalled or overloaded host would start to watch.
     void note_tick(Core::MonotonicTime now);
 
     enum class PeerDiscovery {
@@ -103,10 +103,10 @@
         Found,
     };
 
-    /// Records, with each tick, that this gateway has just started and that the others may not know it yet. It does not
-    /// watch the store meanwhile, and the silence of others that it has found begins afterwards.
+    /// Records, with each tick, that this gateway has just started and that its peers may not know it yet. Until
+    /// discovery ends it does not watch the store, and if it has found peers, their silence counts only from then on.
     void note_joining(PeerDiscovery, Core::MonotonicTime now);
-    /// Takes a report of another gateway.
+    /// Records a report of another gateway.
     void note_report(StoreReport const&, Core::MonotonicTime now);
     /// Records the versions that this gateway has.
     void note_versions(StateVersions const&, Core::MonotonicTime now);
@@ -134,7 +134,7 @@
     }
     /// Whether no healthy watch was reported for the silence timeout: the store itself may be unavailable.
     [[nodiscard]] bool is_store_suspected(Core::MonotonicTime now) const;
-    /// Time in which the thread that takes reports did not run.
+    /// Time in which the thread that receives reports did not run.
     [[nodiscard]] Core::Milliseconds stalled_time() const { return m_running.lost(); }
     /// Earliest time at which is_on_duty() may change without new input.
     [[nodiscard]] Core::MonotonicTime next_check(Core::MonotonicTime now) const;
@@ -152,16 +152,16 @@
     [[nodiscard]] Core::Milliseconds silence_timeout() const;
     [[nodiscard]] Core::MonotonicTime suspicion_time() const;
     [[nodiscard]] std::optional<Core::MonotonicTime> behind_deadline() const;
-    /// Forgets the calls of an earlier time on duty.
+    /// Discards the calls of an earlier time on duty.
     void reset_contacts() { m_contacts = {}; }
 
     Settings m_settings;
     bool m_is_elected {false};
-    /// The same before the first report, and after lost time until the next one.
+    /// Time from which silence counts before the first report, and after a stall until the next report.
     Core::MonotonicTime m_silent_since;
     /// End of the wait for reports after a stall.
     Core::MonotonicTime m_report_wait_end;
-    StoreReport m_heard;
+    StoreReport m_received_report;
     Core::RunningTime m_running;
     /// Gaps between reports of healthy watches.
     Core::RecentGaps m_report_gaps;
@@ -170,7 +170,7 @@
     StateVersions m_own;
     /// When a newer version was first reported, and that version.
     std::optional<Core::MonotonicTime> m_behind_since;
-    StateVersions m_wanted;
+    StateVersions m_missing_versions;
     std::array<Contact, s_watch_count> m_contacts;
     /// When this gateway started to watch without being elected.
     std::optional<Core::MonotonicTime> m_took_over_at;
