--- a/Libraries/LibEntry/UpdateFrameCache.h
+++ b/Libraries/LibEntry/UpdateFrameCache.h
@@ -35,9 +35,9 @@
         auto const found = m_frames.find(from);
         if (to != m_target_version || found == m_frames.end())
             return std::nullopt;
-        zmq::message_t copy;
-        copy.copy(found->second);
-        return copy;
+        zmq::message_t message;
+        message.copy(found->second);
+        return message;
     }
 
 private:
--- a/Libraries/LibGateway/Dialect.h
+++ b/Libraries/LibGateway/Dialect.h
@@ -5,44 +5,44 @@
 
 namespace GraniteField::Gateway {
 
-/// How a time is written in `Retry-After`.
+/// Format of the duration in `Retry-After`.
 enum class RetryAfterFormat {
-    /// As RFC 9110, section 10.2.3, has it.
+    /// As in RFC 9110, section 10.2.3.
     WholeSeconds,
-    /// With fractions, for callers that read them.
+    /// Seconds with three decimal places, for callers that accept them.
     FractionalSeconds,
 };
 
-/// The names of the header fields that a gateway reads and writes. The product's own stand here; an adapter gives
-/// those of its platform. docs/PROTOCOL.md says what each holds.
+/// Names of the header fields that a gateway reads and writes. The defaults are the product's own; an adapter sets
+/// those of its platform. docs/PROTOCOL.md describes the values.
 struct Dialect {
-    /// Names the request; callers draw a new one for each try.
+    /// Identifies the request. Callers choose a new value for each try.
     std::string request_id {"Granitefield-Request"};
-    /// Milliseconds that the sender still waits.
+    /// Milliseconds until the sender times out.
     std::string remaining_time {"Granitefield-Remaining-Ms"};
-    /// The one run of a backend server that may take the request.
+    /// Instance id of the only backend server process that may accept the request.
     std::string expected_instance {"Granitefield-Expect-Instance"};
     std::string workspace {"Granitefield-Workspace"};
-    /// Says that a backend server did not run the request.
+    /// Set by a backend server that did not run the request.
     std::string not_run {"Granitefield-Not-Run"};
     /// Requests per second that a backend server accepts from all gateways together.
     std::string rate_limit {"Granitefield-Rate-Limit"};
-    /// Value 1: the backend server is leaving and wants no further requests.
+    /// Value 1: the backend server is leaving and accepts no further requests.
     std::string leaving {"Granitefield-Leaving"};
-    /// Proves that an answer is a backend server's own.
+    /// Signature that proves that an answer was made by a backend server.
     std::string answer_signature {"Granitefield-Answer"};
-    /// 0 to 9, the most urgent first.
+    /// Priority of the request, from 0, the most urgent, to 9.
     std::string priority {"Granitefield-Priority"};
-    /// Tokens of the prompt and the most that may be generated: `1460,80`.
+    /// Number of prompt tokens and the largest number of tokens to generate: `1460,80`.
     std::string token_counts {"Granitefield-Tokens"};
-    /// The prompt's parts in order, `ID:TOKENS` joined by commas.
+    /// Parts of the prompt in order, as `ID:TOKENS` separated by commas.
     std::string prompt_parts {"Granitefield-Prompt-Parts"};
     std::string last_event_id {"Last-Event-ID"};
-    /// Names another engine, as ADDRESS:PORT, from which an engine fetches what that one keeps of the prompt and it
-    /// does not; empty where engines can't. Set by the gateway only.
+    /// Address, as ADDRESS:PORT, of another engine from which an engine fetches cached parts of the prompt that it
+    /// lacks. Empty if engines do not support this. Set by the gateway only.
     std::string prompt_source;
-    /// Orders to an engine about its memory, its leases and its weights. Only the gateway may give them: what a caller
-    /// sends under these names reaches no backend server, on any route.
+    /// Control fields for the memory, leases and weights of an engine. Only the gateway may set them: it removes those
+    /// of a caller on every route.
     std::vector<std::string> engine_control_fields;
     RetryAfterFormat retry_after {RetryAfterFormat::WholeSeconds};
 };
