--- a/Libraries/LibGateway/DeferredRequests.h
+++ b/Libraries/LibGateway/DeferredRequests.h
@@ -14,28 +14,29 @@
 
 namespace GraniteField::Gateway {
 
-/// A request as it was read.
+/// A request as received.
 struct DeferredRequest {
     std::shared_ptr<CallerConnection> caller;
     HTTP::RequestHead head;
     std::string body;
     Core::MonotonicTime received;
-    /// When it is refused if there is no table by then.
+    /// Time at which it is refused if no suitable table has arrived.
     Core::MonotonicTime deadline;
 };
 
-/// Requests that came before the gateway had its first table. A gateway that begins has it some hundred milliseconds
-/// later, from its peers or the store; refusing meanwhile would turn away callers who come back once only. For one
-/// thread.
+/// Requests that wait for a table: those received before the first one, and those refused by a table that is known to
+/// be outdated. A gateway that starts receives its first table within some hundred milliseconds, from its peers or the
+/// store; refusing requests meanwhile would turn away callers that retry only once. For use by one thread.
 class DeferredRequests {
 public:
-    /// Longer than a start takes; a gateway without a table by then may be without one for long.
+    /// Longer than a start takes. A gateway without a table by then may lack one for long.
     static constexpr Core::Milliseconds s_max_wait {500};
-    /// A caller who waits no longer than some hundred milliseconds in all needs time to go elsewhere.
+    /// Part of the caller's timeout for which a request may wait. A caller with a timeout of some hundred milliseconds
+    /// needs the rest to try another gateway.
     static constexpr int s_caller_timeout_parts = 4;
     static constexpr std::size_t s_max_count = 500;
 
-    /// How long a request waits whose caller waits that long in all.
+    /// Returns the longest wait of a request whose caller has this timeout in all.
     [[nodiscard]] static Core::Milliseconds wait_limit(Core::Milliseconds caller_timeout)
     {
         return std::min(s_max_wait, caller_timeout / s_caller_timeout_parts);
@@ -46,23 +47,23 @@
 
     void add(DeferredRequest request) { m_requests.push_back(std::move(request)); }
 
-    /// All of them, in the order in which they came; those whose callers have left are dropped.
-    [[nodiscard]] std::list<DeferredRequest> take_all() { return without_gone(std::exchange(m_requests, {})); }
+    /// Removes and returns all requests in order of arrival, except those whose callers have disconnected.
+    [[nodiscard]] std::list<DeferredRequest> take_all() { return without_disconnected(std::exchange(m_requests, {})); }
 
-    /// Those that have waited long enough.
+    /// Removes and returns the requests whose deadline has passed, except those whose callers have disconnected.
     [[nodiscard]] std::list<DeferredRequest> take_expired(Core::MonotonicTime now)
     {
         std::list<DeferredRequest> expired;
         for (auto request = m_requests.begin(); request != m_requests.end();) {
-            auto const current = request++;
-            if (now >= current->deadline)
-                expired.splice(expired.end(), m_requests, current);
+            auto const candidate = request++;
+            if (now >= candidate->deadline)
+                expired.splice(expired.end(), m_requests, candidate);
         }
-        return without_gone(std::move(expired));
+        return without_disconnected(std::move(expired));
     }
 
 private:
-    static std::list<DeferredRequest> without_gone(std::list<DeferredRequest> requests)
+    static std::list<DeferredRequest> without_disconnected(std::list<DeferredRequest> requests)
     {
         std::erase_if(requests, [](auto const& request) { return request.caller->is_closed(); });
         return requests;
