--- a/Libraries/LibGateway/ErrorResponse.cpp
+++ b/Libraries/LibGateway/ErrorResponse.cpp
@@ -27,7 +27,7 @@
     Json const body {{"error",
         {{"code", error.code}, {"message", error.message}, {"outcome", to_string(error.outcome)},
             {"request", request}}}};
-    // What the caller sent may stand in the text and need not be valid UTF-8.
+    // The message may quote input of the caller that is not valid UTF-8.
     caller.answer(error.status, fields, body.dump(-1, ' ', false, Json::error_handler_t::replace));
 }
 
--- a/Libraries/LibGateway/ErrorResponse.h
+++ b/Libraries/LibGateway/ErrorResponse.h
@@ -8,10 +8,11 @@
 
 namespace GraniteField::Gateway {
 
-/// The value of `Retry-After`.
+/// Formats the value of `Retry-After`.
 [[nodiscard]] std::string format_retry_after(Core::Milliseconds, RetryAfterFormat);
 
-/// Gives a caller an answer of the gateway's own, as JSON with the outcome and when to come back.
+/// Sends an error that the gateway generates itself to a caller, as JSON with the outcome. Adds `Retry-After` if the
+/// request was not run.
 void send_error_response(CallerConnection&, Entry::ErrorAnswer const&, std::string const& request, Dialect const&);
 
 }
--- a/Libraries/LibGateway/GatewayMetrics.h
+++ b/Libraries/LibGateway/GatewayMetrics.h
@@ -8,7 +8,7 @@
 
 namespace GraniteField::Gateway {
 
-/// The metrics of a gateway's requests. docs/OPERATIONS.md lists them.
+/// Metrics of a gateway's requests. docs/OPERATIONS.md lists them.
 class GatewayMetrics {
 public:
     explicit GatewayMetrics(Observe::MetricRegistry& registry)
@@ -25,7 +25,7 @@
     {
     }
 
-    /// A request has its final answer. `reason` is one of a fixed set of short names.
+    /// Records the final answer to a request. `reason` is one of a fixed set of short names.
     void note_end(unsigned tier, Entry::Outcome outcome, std::string const& reason)
     {
         m_registry
@@ -34,10 +34,11 @@
             .add();
     }
 
-    /// A table is in force that was known to be somewhere for so long; `way` is one of a fixed set of short names.
-    void note_table(std::string_view way, Core::Milliseconds delay)
+    /// Records that a table took effect, and how long after it was first known to exist. `source` is one of a fixed set
+    /// of short names.
+    void note_table(std::string_view source, Core::Milliseconds delay)
     {
-        m_registry.distribution("granitefield_table_delay_seconds", {{"way", std::string(way)}}).add(delay);
+        m_registry.distribution("granitefield_table_delay_seconds", {{"way", std::string(source)}}).add(delay);
     }
 
     void note_first_byte(unsigned tier, Core::Microseconds time)
@@ -59,14 +60,14 @@
     void note_denied_retry() { m_denied_retries.add(); }
     void note_unreachable() { m_unreachable.add(); }
     void note_cancelled() { m_cancelled.add(); }
-    /// A request was at a server when that crashed.
+    /// Records a request that was running on a backend server when that crashed.
     void note_crash_witness() { m_crash_witnesses.add(); }
-    /// A request at which servers had crashed ran to a good end.
+    /// Records the success of a request that was suspected after crashes of backend servers.
     void note_crash_cleared() { m_crash_cleared.add(); }
-    /// A request reaches no server from now on.
+    /// Records a request that was put in quarantine.
     void note_quarantine() { m_quarantines.add(); }
     void set_quarantined(std::size_t count) { m_quarantined.set(static_cast<std::int64_t>(count)); }
-    /// Such a request came, and reached none.
+    /// Records a request that was refused because it is in quarantine.
     void note_refused_by_quarantine() { m_held_back.add(); }
     void note_bad_request(int status)
     {
