--- a/Meta/deliberate-breaks.sh
+++ b/Meta/deliberate-breaks.sh
@@ -20,7 +20,7 @@
     '6|Libraries/LibSide/TicketBook.cpp|s/if (ticket->side != m_own)/if (false)/|TicketBookTest|*AnotherRun*'
     '7|Libraries/LibEntry/SideLink.cpp|s/m_backend_server.state == Table::BackendServerState::Leaving/false/|LeavingTest|*OperatorsWord*'
     '8|Services/GraniteFieldD/SideDaemon.cpp|s/while (!authority.is_drained()/while (false \&\& !authority.is_drained()/|LeavingTest|*PlannedStopOfASide*'
-    '9|Libraries/LibEntry/SharedTable.h|s/if (m_table \&\& table.version() <= m_table->version())/if (false)/|PeersTest|*NeverGoesBack*'
+    '9|Libraries/LibEntry/SharedTable.h|s/if (m_table \&\& table.version() <= m_table->version())/if (false)/|PeersTest|*NeverReplacesATableByAnOlderOne*'
     '10|Libraries/LibPlatform/TableStore.cpp|s/if (base.version() == current.version())/if (true)/|ConfigurationTest|*TwoOperators*'
     '11|Libraries/LibPolicy/AdmissionQueue.h|s/work.tier > tier/work.tier > 0 * tier/|AdmissionQueueTest|*SuspendsOnly*'
     '12|Libraries/LibEntry/LinkSet.cpp|s/link->set_listed_as_leaving(is_leaving);/link->set_listed_as_leaving(is_leaving \&\& false);/|LeavingTest|*HostList*'
--- a/Tests/LibEntry/PeersTest.cpp
+++ b/Tests/LibEntry/PeersTest.cpp
@@ -1,4 +1,4 @@
-// What PeerExchange rests on: who knows whom, who watches the platform, and the steps of the table.
+// PeerView, SharedTable and TableHistory: neighbours, the choice of watchers, and the edits between versions.
 #include <LibCore/Text.h>
 #include <LibEntry/PeerView.h>
 #include <LibEntry/SharedDrains.h>
@@ -22,10 +22,10 @@
 
 Core::MonotonicTime const s_now {1h};
 
-Peer make_peer(std::size_t number, std::size_t regions, Core::MonotonicTime heard = s_now)
+Peer make_peer(std::size_t number, std::size_t regions, Core::MonotonicTime last_heard = s_now)
 {
     return {Core::concat("entry-", number), Core::concat("region-", number % regions),
-        Core::concat("10.0.0.1:", number + 1), heard, true, "", 0};
+        Core::concat("10.0.0.1:", number + 1), last_heard, true, "", 0};
 }
 
 std::vector<PeerView> make_views(std::size_t count, std::size_t regions)
@@ -39,20 +39,20 @@
     return views;
 }
 
-/// Rounds of announcements until all have heard what one knew.
+/// Returns the number of announcement rounds until an update of one entry has reached all.
 std::size_t rounds_to_reach_all(std::vector<PeerView> const& views)
 {
     std::set<std::string> reached {views.front().self().name};
     std::size_t rounds = 0;
     while (reached.size() < views.size() && rounds < 100) {
-        std::set<std::string> next = reached;
+        std::set<std::string> newly_reached = reached;
         for (auto const& view : views) {
             if (!reached.contains(view.self().name))
                 continue;
             for (auto const& neighbour : view.neighbours())
-                next.insert(neighbour.name);
+                newly_reached.insert(neighbour.name);
         }
-        reached = std::move(next);
+        reached = std::move(newly_reached);
         ++rounds;
     }
     return rounds;
@@ -60,14 +60,14 @@
 
 }
 
-TEST(PeerView, ReachesAllEntriesOfTheTargetSizeInFewSteps)
+TEST(PeerView, ReachesAllEntriesOfAFullSizeFleetInFewRounds)
 {
     auto const views = make_views(950, 6);
     EXPECT_EQ(views.front().neighbours().size(), 10U);
     EXPECT_LE(rounds_to_reach_all(views), 10U);
 }
 
-TEST(PeerView, TwoEntriesOfEachRegionWatch)
+TEST(PeerView, ElectsTwoWatchersInEachRegion)
 {
     std::map<std::string, std::size_t> watchers;
     for (auto const& view : make_views(950, 6)) {
@@ -79,7 +79,7 @@
         EXPECT_EQ(count, PeerView::s_watchers_per_group) << region;
 }
 
-TEST(PeerView, AnotherEntryWatchesWhenTheFirstCantReachThePlatform)
+TEST(PeerView, ElectsAnotherWatcherWhenOneCannotReachThePlatform)
 {
     auto views = make_views(10, 1);
     auto const first = std::ranges::find_if(views, [](auto const& view) { return view.should_watch(); });
@@ -93,14 +93,14 @@
     EXPECT_EQ(std::ranges::count_if(views, [](auto const& view) { return view.should_watch(); }), 2);
 }
 
-TEST(PeerView, EveryEntryWatchesWhenNobodyReachesThePlatform)
+TEST(PeerView, WatchesWhenNoEntryReachesThePlatform)
 {
     PeerView view(make_peer(0, 1));
     view.set_platform_reachable(false);
     EXPECT_TRUE(view.should_watch());
 }
 
-TEST(PeerView, ForgetsWhoIsSilentAndBelievesTheLatestWord)
+TEST(PeerView, RemovesSilentPeersAndKeepsTheLatestRecord)
 {
     PeerView view(make_peer(0, 1));
     view.note(make_peer(1, 1, s_now));
@@ -114,7 +114,7 @@
     EXPECT_EQ(view.count(), 0U);
 }
 
-TEST(PeerView, SamplesEveryoneInTurn)
+TEST(PeerView, SamplesAllPeersInRotation)
 {
     auto view = make_views(20, 1).front();
     std::set<std::string> seen;
@@ -125,7 +125,7 @@
     EXPECT_EQ(seen.size(), 19U);
 }
 
-RC_GTEST_PROP(SharedTable, NeverGoesBack, (std::vector<std::uint8_t> const& versions))
+RC_GTEST_PROP(SharedTable, NeverReplacesATableByAnOlderOne, (std::vector<std::uint8_t> const& versions))
 {
     SharedTable shared;
     std::uint64_t highest = 0;
@@ -138,7 +138,7 @@
     }
 }
 
-RC_GTEST_PROP(TableHistory, EditsLeadFromAnyKnownVersionToThePresent, ())
+RC_GTEST_PROP(TableHistory, ReturnsEditsFromAnyKnownVersionToTheCurrentOne, ())
 {
     TableHistory history;
     std::vector<Table::Table> tables {Table::Table()};
