--- a/Meta/deliberate-breaks.sh
+++ b/Meta/deliberate-breaks.sh
@@ -37,7 +37,7 @@
     "23|Libraries/LibGateway/GatewayServer.cpp|s/if (auto const error = refuse_for_drain(call, now))/if (auto const error = refuse_for_drain(call, now); error \&\& !m_drain_started)/|AttemptRulesTest|*ThePlannedStop*"
     '24|Libraries/LibPlatform/ObjectFollower.h|s/\*m_revision, wait);/*m_revision, wait * 8);/|GatewayProcessTest|*HangingWatch*'
     '25|Libraries/LibGateway/PlacementPolicy.cpp|s/harmed_streams(server, estimate.unread_tokens, task) . s_late/0 * harmed_streams(server, estimate.unread_tokens, task) * s_late/|PauseRulesTest|*LongPromptsKeepAway*'
-    '26|Libraries/LibEntry/PullSchedule.cpp|s/if (is_in_flight)/if (is_in_flight \&\& false)/|PullScheduleTest|*OnePull*'
+    '26|Libraries/LibEntry/PullSchedule.cpp|s/if (is_in_flight)/if (is_in_flight \&\& false)/|PullScheduleTest|*OnePullInFlight*'
     '27|Libraries/LibPlatform/ObjectClient.cpp|s/list_path(kind, has_names ?/list_path(kind, has_names \&\& false ?/|GatewayProcessTest|*LongList*'
     '28|Libraries/LibGateway/LoadSharing.cpp|s/m_placements_before = std::exchange(m_placements, {});/m_placements.clear();/|LoadExchangeTest|*ToldTwice*'
     '29|Libraries/LibGateway/PlacementPolicy.cpp|s/ + slot_loss(load, server.record().slots);/ + 0 * slot_loss(load, server.record().slots);/|PauseRulesTest|*EnginesSlots*'
@@ -71,7 +71,7 @@
     '58|Libraries/LibGateway/CrashWatch.cpp|s/if (!server.takes_new_requests())/if (false)/|CrashRulesTest|*LeavesIsNoCrash*'
     '59|Libraries/LibGateway/BackendFleet.cpp|s/bool const is_reborn = view != nullptr \&\& /bool const is_reborn = view == nullptr \&\& /|BackendFleetTest|*NothingThatWasBelieved*'
     '60|Libraries/LibCore/Compression.cpp|s/compressed.resize(size);/compressed.resize(compressed.size());/|PeerExchangeTest|*EncodesManyNewRoutes*'
-    '61|Libraries/LibEntry/PullSchedule.cpp|s/m_offers.push_back({std::move(origin), versions});/m_offers.assign(1, {std::move(origin), versions});/|PullScheduleTest|*EverybodyElse*'
+    '61|Libraries/LibEntry/PullSchedule.cpp|s/m_offers.push_back({std::move(origin), versions});/m_offers.assign(1, {std::move(origin), versions});/|PullScheduleTest|*FromAllOtherPeers*'
     '62|Libraries/LibEntry/WatchDuty.cpp|s/    wake_if_earlier(now);/    static_cast<void>(now);/|WatchDutyTest|*LooksInTime*'
     '63|Libraries/LibPlatform/ObjectFollower.h|s/m_revision = std::max(\*m_revision, proven_by(answer));/m_revision = std::max(*m_revision, answer.revision);/|ObjectFollowerTest|*HidesNoChange*'
     '64|Libraries/LibGateway/GatewayServer.cpp|s/    if (is_table_outdated())/    if (is_table_outdated() \&\& false)/|BehindTest|*NotRefusedByTheOldOne*'
--- a/Tests/LibEntry/PullScheduleTest.cpp
+++ b/Tests/LibEntry/PullScheduleTest.cpp
@@ -1,4 +1,4 @@
-// When an entry asks which peer for what it has beyond its own.
+// PullSchedule: when newer versions are pulled, and from which peer.
 #include <LibCore/Text.h>
 #include <LibEntry/PullSchedule.h>
 
@@ -16,7 +16,7 @@
 namespace {
 
 Core::MonotonicTime const s_start {1h};
-constexpr Core::Milliseconds s_patience {600};
+constexpr Core::Milliseconds s_delay {600};
 StateVersions const s_own {Core::TableVersion(1), DrainsVersion(1), ListRevision(1)};
 
 StateVersions with_table(std::uint64_t version)
@@ -33,14 +33,14 @@
 
 }
 
-TEST(PullSchedule, WithoutPatienceTheFirstWordIsEnough)
+TEST(PullSchedule, PullsAtOnceWithoutADelay)
 {
     PullSchedule pulls;
     pulls.note_offer(peer(0), with_table(2));
     EXPECT_EQ(pulls.next(s_own, s_start, 0ms), peer(0));
 }
 
-TEST(PullSchedule, OnePullIsUnderWayHoweverManyAnnounce)
+TEST(PullSchedule, KeepsOnePullInFlightHoweverManyPeersAnnounce)
 {
     PullSchedule pulls;
     unsigned count = 0;
@@ -53,25 +53,25 @@
     EXPECT_TRUE(pulls.next(s_own, s_start + PullSchedule::s_pull_timeout, 0ms));
 }
 
-TEST(PullSchedule, WhatThePlatformTellsInTimeIsNotPulled)
+TEST(PullSchedule, DoesNotPullWhatThePlatformSendsWithinTheDelay)
 {
     PullSchedule pulls;
     pulls.note_offer(peer(0), with_table(2));
-    EXPECT_FALSE(pulls.next(s_own, s_start, s_patience));
-    EXPECT_FALSE(pulls.next(s_own, s_start + s_patience - 1ms, s_patience));
+    EXPECT_FALSE(pulls.next(s_own, s_start, s_delay));
+    EXPECT_FALSE(pulls.next(s_own, s_start + s_delay - 1ms, s_delay));
     pulls.note_update();
-    EXPECT_FALSE(pulls.next(with_table(2), s_start + s_patience, s_patience));
+    EXPECT_FALSE(pulls.next(with_table(2), s_start + s_delay, s_delay));
 }
 
-TEST(PullSchedule, WhatThePlatformDoesNotTellIsPulledAfterThePatience)
+TEST(PullSchedule, PullsAfterTheDelayWhatThePlatformDoesNotSend)
 {
     PullSchedule pulls;
     pulls.note_offer(peer(0), with_table(2));
-    EXPECT_FALSE(pulls.next(s_own, s_start, s_patience));
-    EXPECT_EQ(pulls.next(s_own, s_start + s_patience, s_patience), peer(0));
+    EXPECT_FALSE(pulls.next(s_own, s_start, s_delay));
+    EXPECT_EQ(pulls.next(s_own, s_start + s_delay, s_delay), peer(0));
 }
 
-TEST(PullSchedule, EverybodyElseIsAskedBeforeOneThatDidNotAnswerIsAskedAgain)
+TEST(PullSchedule, PullsFromAllOtherPeersBeforeRepeatingAnUnansweredPull)
 {
     PullSchedule pulls;
     for (std::size_t number = 0; number < 5; ++number)
@@ -88,7 +88,7 @@
     EXPECT_TRUE(pulls.next(s_own, now, 0ms));
 }
 
-TEST(PullSchedule, OneThatHasMoreThanWhatJustCameIsAskedAtOnce)
+TEST(PullSchedule, PullsAtOnceFromAPeerThatIsAheadOfTheReceivedUpdate)
 {
     PullSchedule pulls;
     pulls.note_offer(peer(0), with_table(2));
@@ -101,7 +101,7 @@
     EXPECT_FALSE(pulls.next(with_table(3), s_start + 3ms, 0ms));
 }
 
-TEST(PullSchedule, TheNewestIsPulledFirst)
+TEST(PullSchedule, PullsTheNewestVersionFirst)
 {
     PullSchedule pulls;
     pulls.note_offer(peer(0), with_table(2));
@@ -110,7 +110,7 @@
     EXPECT_EQ(pulls.next(s_own, s_start, 0ms), peer(1));
 }
 
-TEST(PullSchedule, WhoKnowsOfNobodyThatIsAheadAsksItsNeighbours)
+TEST(PullSchedule, QueriesNeighboursWhenNoPeerIsKnownToBeAhead)
 {
     PullSchedule pulls;
     pulls.note_newest_known(with_table(2));
@@ -119,22 +119,23 @@
     EXPECT_TRUE(pulls.should_query_neighbours(s_own, s_start + PullSchedule::s_query_interval, 0ms));
     EXPECT_FALSE(pulls.should_query_neighbours(s_own, s_start + PullSchedule::s_query_interval + 1ms, 0ms));
     EXPECT_TRUE(pulls.should_query_neighbours(s_own, s_start + 2 * PullSchedule::s_query_interval, 0ms));
-    // Here by now: there is nothing to ask for.
+    // The version has arrived.
     EXPECT_FALSE(pulls.should_query_neighbours(with_table(2), s_start + 1h, 0ms));
 }
 
-TEST(PullSchedule, WhoHearsThePlatformAsksAfterThePatience)
+TEST(PullSchedule, QueriesNeighboursAfterTheDelayWhileFollowingThePlatform)
 {
     PullSchedule pulls;
     pulls.note_newest_known(with_table(2));
-    EXPECT_FALSE(pulls.should_query_neighbours(s_own, s_start, s_patience));
-    EXPECT_FALSE(pulls.should_query_neighbours(s_own, s_start + s_patience - 1ms, s_patience));
-    EXPECT_TRUE(pulls.should_query_neighbours(s_own, s_start + s_patience, s_patience));
+    EXPECT_FALSE(pulls.should_query_neighbours(s_own, s_start, s_delay));
+    EXPECT_FALSE(pulls.should_query_neighbours(s_own, s_start + s_delay - 1ms, s_delay));
+    EXPECT_TRUE(pulls.should_query_neighbours(s_own, s_start + s_delay, s_delay));
 }
 
-RC_GTEST_PROP(PullSchedule, IsNeverBehindForLongWhileAPeerAnnounces, ())
+RC_GTEST_PROP(PullSchedule, PullsInTimeWhileAPeerKeepsAnnouncing, ())
 {
-    // Whatever news came before, and whichever answers were lost, a peer that keeps announcing is asked again.
+    // Regardless of earlier updates and lost replies, a pull becomes due within the delay and one timeout while a peer
+    // keeps announcing.
     PullSchedule pulls;
     auto now = s_start;
     auto const steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 300));
@@ -144,29 +145,29 @@
         if (step % 7 == 0)
             pulls.note_update();
         else
-            static_cast<void>(pulls.next(s_own, now, s_patience));
+            static_cast<void>(pulls.next(s_own, now, s_delay));
     }
     bool has_pulled = false;
-    for (auto const end = now + s_patience + PullSchedule::s_pull_timeout; now <= end; now += 10ms) {
+    for (auto const end = now + s_delay + PullSchedule::s_pull_timeout; now <= end; now += 10ms) {
         pulls.note_offer(peer(0), with_table(2));
-        has_pulled = pulls.next(s_own, now, s_patience) || has_pulled;
+        has_pulled = pulls.next(s_own, now, s_delay) || has_pulled;
     }
     RC_ASSERT(has_pulled);
 }
 
-RC_GTEST_PROP(PullSchedule, ReachesTheOneThatAnswersWhoeverElseIsMute, ())
+RC_GTEST_PROP(PullSchedule, PullsFromTheOnlyResponsivePeerInTime, ())
 {
-    // Any number of peers have announced once, in any order, and all but one fall silent: within an answer's limit for
-    // each of them the one that answers has been asked, without another word of anybody.
+    // Any number of peers announce once in any order, and all but one do not reply. The remaining one is asked within
+    // one pull timeout per peer, without further announcements.
     PullSchedule pulls;
     auto const count = *rc::gen::inRange<std::size_t>(1, PullSchedule::s_max_offers);
-    auto const sound = *rc::gen::inRange<std::size_t>(0, count);
+    auto const responsive = *rc::gen::inRange<std::size_t>(0, count);
     for (std::size_t number = 0; number < count; ++number)
         pulls.note_offer(peer(number), with_table(*rc::gen::inRange<std::uint64_t>(2, 9)));
     bool is_asked = false;
     auto const end = s_start + PullSchedule::s_pull_timeout * static_cast<std::int64_t>(count);
     for (auto now = s_start; now <= end; now += 50ms)
-        is_asked = pulls.next(s_own, now, 0ms) == peer(sound) || is_asked;
+        is_asked = pulls.next(s_own, now, 0ms) == peer(responsive) || is_asked;
     RC_ASSERT(is_asked);
 }
 
