--- a/Tests/LibEntry/ServerChangesTest.cpp
+++ b/Tests/LibEntry/ServerChangesTest.cpp
@@ -1,5 +1,5 @@
-// Each change of one backend server sent the whole list of all of them to every gateway: bytes by gateways, times
-// servers, times changes.
+// Guards the cost of a change of one backend server. It once sent the whole list to every gateway, which cost bytes in
+// proportion to gateways, servers and changes.
 #include <LibCore/Text.h>
 #include <LibEntry/PeerMessages.h>
 #include <LibEntry/ServerChanges.h>
@@ -38,21 +38,21 @@
     return list;
 }
 
-std::shared_ptr<ServerList const> share(ServerList list)
+std::shared_ptr<ServerList const> make_shared_list(ServerList list)
 {
     return std::make_shared<ServerList const>(std::move(list));
 }
 
-/// As it goes out and comes in.
-ServerChanges sent(ServerChanges const& changes)
+/// Encodes and decodes the changes, as on the way to a peer.
+ServerChanges sent_and_received(ServerChanges const& changes)
 {
     return *from_message(to_message(changes, s_now), s_now);
 }
 
 }
 
-// A change costs what changed, whatever the size of the fleet: the whole list of 640 servers took 10 KB and more.
-TEST(ServerChanges, OneServerCostsAsMuchInALargeFleetAsInASmallOne)
+// The size of an update must not depend on the size of the fleet: the whole list of 640 servers took 10 KB and more.
+TEST(ServerChanges, EncodesOneServerInConstantSizeForAnyFleet)
 {
     auto const bytes_of_a_change = [](unsigned count) {
         auto const before = list_of(count, 1);
@@ -64,15 +64,16 @@
     EXPECT_LT(bytes_of_a_change(10'000), 200U);
 }
 
-// Servers come, go and change in any order; whoever has any of the lists before, or none, gets the newest one.
-RC_GTEST_PROP(ServerChanges, LeadFromAnyKnownListToTheNewest, ())
+// Servers are added, removed and changed in any order. A peer with any earlier list, or none, must obtain the newest
+// one.
+RC_GTEST_PROP(ServerChanges, UpdateAnyKnownListToTheNewest, ())
 {
     ServerHistory history;
     std::vector<std::shared_ptr<ServerList const>> lists;
     auto current = list_of(5, 1);
     auto const steps = *rc::gen::inRange<std::size_t>(1, 30);
     for (std::size_t step = 0; step < steps; ++step) {
-        lists.push_back(share(current));
+        lists.push_back(make_shared_list(current));
         history.note(lists.back());
         auto const number = *rc::gen::inRange<unsigned>(0, 10);
         auto const slots = *rc::gen::inRange<unsigned>(0, 3);
@@ -88,43 +89,44 @@
             continue;
         auto const changes = history.changes_since(known->revision);
         RC_ASSERT(changes.has_value());
-        auto const list = apply_changes(sent(*changes), known);
+        auto const list = apply_changes(sent_and_received(*changes), known);
         RC_ASSERT(list.has_value());
         RC_ASSERT(list->servers == newest->servers);
         RC_ASSERT(list->revision == newest->revision);
     }
-    auto const whole = apply_changes(sent(difference(ServerList(), *newest)), nullptr);
+    auto const whole = apply_changes(sent_and_received(difference(ServerList(), *newest)), nullptr);
     RC_ASSERT(whole && whole->servers == newest->servers);
 }
 
-// A removal has no revision of its own, so that two gateways may know different lists under one revision.
-TEST(ServerChanges, AreNotTakenFromAnotherListOfTheSameRevision)
+// A removal has no revision of its own, so that two gateways may have different lists under one revision.
+TEST(ServerChanges, AreRejectedForAnotherListOfTheSameRevision)
 {
     auto const before = list_of(5, 1);
     auto after = list_of(6, 2);
     auto const changes = difference(before, after);
-    EXPECT_TRUE(apply_changes(changes, share(list_of(5, 1))));
-    EXPECT_FALSE(apply_changes(changes, share(list_of(4, 1))));
-    EXPECT_FALSE(apply_changes(changes, share(list_of(5, 3))));
+    EXPECT_TRUE(apply_changes(changes, make_shared_list(list_of(5, 1))));
+    EXPECT_FALSE(apply_changes(changes, make_shared_list(list_of(4, 1))));
+    EXPECT_FALSE(apply_changes(changes, make_shared_list(list_of(5, 3))));
     EXPECT_FALSE(apply_changes(changes, nullptr));
 }
 
-TEST(ServerChanges, TellHowLongAServerIsStillCold)
+TEST(ServerChanges, CarryTheRemainingColdTime)
 {
     auto after = list_of(1, 2);
     after.servers.front().cold_until = s_now + 2s;
-    auto const list = apply_changes(sent(difference(list_of(1, 1), after)), share(list_of(1, 1)));
+    auto const list
+        = apply_changes(sent_and_received(difference(list_of(1, 1), after)), make_shared_list(list_of(1, 1)));
     ASSERT_TRUE(list);
     EXPECT_EQ(list->servers.front().cold_until, s_now + 2s);
 }
 
-TEST(ServerHistory, BeginsAnewWhereAListIsReplacedUnderItsRevision)
+TEST(ServerHistory, RestartsWhenAListIsReplacedUnderItsRevision)
 {
     ServerHistory history;
-    history.note(share(list_of(5, 1)));
-    history.note(share(list_of(5, 2)));
+    history.note(make_shared_list(list_of(5, 1)));
+    history.note(make_shared_list(list_of(5, 2)));
     EXPECT_TRUE(history.changes_since(ListRevision(1)));
-    history.note(share(list_of(4, 2)));
+    history.note(make_shared_list(list_of(4, 2)));
     EXPECT_FALSE(history.changes_since(ListRevision(1)));
 }
 
