--- a/Meta/deliberate-breaks.sh
+++ b/Meta/deliberate-breaks.sh
@@ -45,7 +45,7 @@
     '31|Libraries/LibGateway/GatewayRun.cpp|s/m_choice.forgo_fetch();/static_cast<void>(0);/|AttemptRulesTest|*AFetchThatFails*'
     '32|Libraries/LibGateway/PlacementPolicy.cpp|s/? s_hopeless_wait : 0;/? 0 * s_hopeless_wait : 0;/|PauseRulesTest|*DoNotAllWait*'
     '33|Libraries/LibEntry/WatchElection.cpp|s/return now >= suspicion_time();/return now < suspicion_time() \&\& false;/|WatchersTest|*AllOfThemDie*'
-    '34|Libraries/LibEntry/WatchElection.cpp|s/bool const is_behind = read_due_at \&\& now/bool const is_behind = read_due_at \&\& false \&\& now/|WatchElectionTest|*DoesNotCome*'
+    '34|Libraries/LibEntry/WatchElection.cpp|s/bool const is_behind = read_due_at \&\& now/bool const is_behind = read_due_at \&\& false \&\& now/|WatchElectionTest|*VersionThatWasNotReceived*'
     '35|Libraries/LibGateway/RelayElection.cpp|s/if (has_paused(m_last_told, now))/if (has_paused(m_last_told, now) \&\& false)/|LoadSharingTest|*ReplacesADeadRelay*'
     '37|Libraries/LibGateway/GatewayRun.h|s/most_connects {64};/most_connects {4};/|AttemptRulesTest|*AQuarterOfThemDied*'
     '38|Libraries/LibPolicy/FleetRetryBudget.h|s/if (earned() >= 1)/if (earned() >= 1 \&\& slice.spent == 0)/|GatewayPropertiesTest|*AWindowEarned*'
--- a/Tests/LibEntry/WatchDutyTest.cpp
+++ b/Tests/LibEntry/WatchDutyTest.cpp
@@ -43,7 +43,7 @@
     SharedServers servers;
     WatchDuty duty(s_contact_time, s_last_in_order, table, servers, log, metrics);
     duty.note_report(report_of(0, Core::monotonic_now()), Core::monotonic_now());
-    auto wait = std::async(std::launch::async, [&] {
+    auto duty_start = std::async(std::launch::async, [&] {
         WatchDuty::Follower follower(duty, WatchElection::Watch::Table);
         static_cast<void>(follower.wait_for_turn());
         return Core::monotonic_now();
@@ -53,12 +53,12 @@
     auto const reported_at = Core::monotonic_now();
     duty.note_report(report_of(1, reported_at), reported_at);
     // A healthy watch stays reported, so that only being behind puts this gateway on duty.
-    auto const is_on_duty = [&] { return wait.wait_for(50ms) == std::future_status::ready; };
+    auto const is_on_duty = [&] { return duty_start.wait_for(50ms) == std::future_status::ready; };
     while (!is_on_duty() && Core::elapsed(reported_at, Core::monotonic_now()) < s_apply_limit)
         duty.note_report(report_of(1, Core::monotonic_now()), Core::monotonic_now());
     duty.stop();
     // Half of the limit is left for the replies of the store, one of which may be lost.
-    EXPECT_LE(Core::elapsed(reported_at, wait.get()), s_apply_limit / 2);
+    EXPECT_LE(Core::elapsed(reported_at, duty_start.get()), s_apply_limit / 2);
     ::close(null_file);
 }
 
--- a/Tests/LibEntry/WatchElectionTest.cpp
+++ b/Tests/LibEntry/WatchElectionTest.cpp
@@ -1,4 +1,4 @@
-// Who watches the platform's store: that somebody does in time whatever fails, and that few do while nothing does.
+// WatchElection: some gateway watches the store in time whatever fails, and only a few do while nothing fails.
 #include <LibCore/Hashing.h>
 #include <LibCore/Text.h>
 #include <LibEntry/PeerView.h>
@@ -19,17 +19,17 @@
 namespace {
 
 Core::MonotonicTime const s_start {1h};
-constexpr Core::Milliseconds s_patience {1'000};
-/// What a watch waits, and its answer's limit beyond.
+constexpr Core::Milliseconds s_silence_timeout {1'000};
+/// Longest wait of a watch, and the timeout of its call.
 constexpr Core::Milliseconds s_watch_wait {2'000};
 constexpr Core::Milliseconds s_call_limit {2'800};
 
 WatchElection make_election()
 {
-    return WatchElection({s_patience}, s_start);
+    return WatchElection({s_silence_timeout}, s_start);
 }
 
-/// The process runs until then and hears nothing.
+/// The process runs until `end` and receives no report.
 void run_until(WatchElection& election, Core::MonotonicTime& now, Core::MonotonicTime end)
 {
     for (; now < end; now += std::min<Core::MonotonicTime::duration>(100ms, end - now))
@@ -37,7 +37,7 @@
     election.note_tick(now);
 }
 
-/// The process joins the others, and does not watch the store meanwhile.
+/// The process starts and its peers do not know it yet; meanwhile it must not watch the store.
 void join_for(
     Core::Milliseconds duration, WatchElection& election, Core::MonotonicTime& now, WatchElection::PeerDiscovery others)
 {
@@ -48,8 +48,8 @@
     }
 }
 
-/// Both watches are answered and under way.
-void watch_soundly(WatchElection& election, Core::MonotonicTime now)
+/// Both watches are answered, and their next calls are in flight.
+void answer_watches(WatchElection& election, Core::MonotonicTime now)
 {
     for (auto const watch : {WatchElection::Watch::Table, WatchElection::Watch::Servers}) {
         election.note_call(watch, now + s_call_limit);
@@ -64,7 +64,7 @@
 
 }
 
-TEST(WatchElection, WhoIsNotElectedStaysAwayWhileSomebodysWatchIsSound)
+TEST(WatchElection, DoesNotWatchWhileAHealthyWatchIsReported)
 {
     auto election = make_election();
     for (auto now = s_start; now < s_start + 1min; now += 100ms) {
@@ -75,30 +75,30 @@
     }
 }
 
-TEST(WatchElection, AnybodyStepsInWhenNoSoundWatchIsHeardOf)
+TEST(WatchElection, TakesOverWhenNoHealthyWatchIsReported)
 {
     auto election = make_election();
     election.note_report(report_of_elected(s_start), s_start);
-    EXPECT_EQ(election.next_check(s_start), s_start + s_patience);
+    EXPECT_EQ(election.next_check(s_start), s_start + s_silence_timeout);
     auto now = s_start;
-    run_until(election, now, s_start + s_patience - 1ms);
+    run_until(election, now, s_start + s_silence_timeout - 1ms);
     EXPECT_FALSE(election.is_on_duty(now));
-    EXPECT_TRUE(election.is_store_suspected(s_start + s_patience));
-    EXPECT_TRUE(election.is_on_duty(s_start + s_patience));
-    // Its own report tells the others not to.
-    EXPECT_FALSE(election.report(s_start + s_patience).any_healthy_at > s_start);
-    watch_soundly(election, s_start + s_patience);
-    EXPECT_EQ(election.report(s_start + s_patience).any_healthy_at, s_start + s_patience);
-    EXPECT_EQ(election.report(s_start + s_patience).elected_healthy_at, s_start);
+    EXPECT_TRUE(election.is_store_suspected(s_start + s_silence_timeout));
+    EXPECT_TRUE(election.is_on_duty(s_start + s_silence_timeout));
+    // It reports a healthy watch only once its calls are answered.
+    EXPECT_FALSE(election.report(s_start + s_silence_timeout).any_healthy_at > s_start);
+    answer_watches(election, s_start + s_silence_timeout);
+    EXPECT_EQ(election.report(s_start + s_silence_timeout).any_healthy_at, s_start + s_silence_timeout);
+    EXPECT_EQ(election.report(s_start + s_silence_timeout).elected_healthy_at, s_start);
 }
 
-TEST(WatchElection, WhoSteppedInLeavesWhenAnElectedOneIsBack)
+TEST(WatchElection, StopsWatchingWhenAnElectedWatcherIsHealthyAgain)
 {
     auto election = make_election();
     auto now = s_start;
-    run_until(election, now, s_start + s_patience);
+    run_until(election, now, s_start + s_silence_timeout);
     ASSERT_TRUE(election.is_on_duty(now));
-    // The report of others who stepped in as well, its own among them, relieves nobody.
+    // Reports of gateways that were not elected, its own among them, do not end its duty.
     run_until(election, now, now + WatchElection::s_min_duty_time);
     election.note_report({std::nullopt, now, {}}, now);
     EXPECT_TRUE(election.is_on_duty(now));
@@ -106,7 +106,7 @@
     EXPECT_FALSE(election.is_on_duty(now));
 }
 
-TEST(WatchElection, AVersionThatDoesNotComeIsAskedOfTheStore)
+TEST(WatchElection, ReadsAVersionThatWasNotReceivedFromTheStore)
 {
     auto election = make_election();
     auto now = s_start;
@@ -120,7 +120,7 @@
     }
     election.note_report(report_of_elected(now), now);
     EXPECT_TRUE(election.is_on_duty(now));
-    // Once it has it, the elected ones suffice again.
+    // Once it has the version, the elected watchers suffice again.
     run_until(election, now, now + WatchElection::s_min_duty_time);
     election.note_report(report_of_elected(now), now);
     EXPECT_TRUE(election.is_on_duty(now));
@@ -128,8 +128,8 @@
     EXPECT_FALSE(election.is_on_duty(now));
 }
 
-// A host whose processes had all been stopped, or got no processor time, for some seconds: when they went on, every
-// gateway on it took the others' silence for that of the watchers and listed everything from the store.
+// Guards against counting the own stall as silence of the watchers. When all processes of a host were stopped or
+// starved for some seconds and ran again, every gateway on it listed everything from the store.
 TEST(WatchElection, IgnoresSilenceDuringItsOwnStall)
 {
     auto election = make_election();
@@ -139,11 +139,11 @@
         election.note_report(report_of_elected(now), now);
     }
     now += 10s;
-    // Whichever of its threads goes on first.
+    // Also if the follower's thread runs before the tick.
     EXPECT_FALSE(election.is_on_duty(now));
     election.note_tick(now);
-    // Others are silent indeed.
-    for (auto const end = now + s_patience; now < end; now += 100ms) {
+    // From here on there really are no reports.
+    for (auto const end = now + s_silence_timeout; now < end; now += 100ms) {
         election.note_tick(now);
         EXPECT_FALSE(election.is_on_duty(now));
     }
@@ -151,24 +151,24 @@
     EXPECT_TRUE(election.is_on_duty(now));
 }
 
-// A host that stalled within its first 100 ms: its gateways had heard nobody yet, and all of them listed everything
-// from the store when they went on, seven watchers in place of two.
+// Guards against a stall within the first 100 ms of a process. Its gateways had received no report yet, and all of them
+// listed everything from the store when they ran again: seven watchers in place of two.
 TEST(WatchElection, IgnoresSilenceDuringAStallRightAfterItsStart)
 {
     auto election = make_election();
     auto now = s_start + 2'200ms;
-    // Whichever of its threads goes on first.
+    // Also if the follower's thread runs before the tick.
     EXPECT_FALSE(election.is_on_duty(now));
-    run_until(election, now, now + s_patience - 100ms);
+    run_until(election, now, now + s_silence_timeout - 100ms);
     EXPECT_FALSE(election.is_on_duty(now));
     election.note_report(report_of_elected(now), now);
     run_until(election, now, now + 200ms);
     EXPECT_FALSE(election.is_on_duty(now));
 }
 
-// A host that stalls for 800 ms in each 1,300: with the patience begun anew after each stall nobody ever stepped in for
-// watchers that had died.
-TEST(WatchElection, StepsInAlthoughItsHostStallsRepeatedly)
+// Guards against a timeout that restarts with each stall. On a host that stalled for 800 ms in each 1,300 ms, no
+// gateway ever took over from watchers that had died.
+TEST(WatchElection, TakesOverAlthoughItsHostStallsRepeatedly)
 {
     auto election = make_election();
     election.note_report(report_of_elected(s_start), s_start);
@@ -179,13 +179,13 @@
         if (!election.is_on_duty(now))
             now += 800ms;
     }
-    // The patience, in stretches of running.
-    EXPECT_LE(stretches, s_patience / 500ms + 1);
+    // The silence timeout, in stretches of 500 ms.
+    EXPECT_LE(stretches, s_silence_timeout / 500ms + 1);
 }
 
-// A host whose processors are taken by others: each tick came late, none counted, and nobody stepped in for watchers
-// that had died.
-TEST(WatchElection, StepsInAlthoughEachTickIsLate)
+// Guards against ignoring all late ticks. On a host whose processors were taken by other work each tick was late, none
+// counted, and no gateway took over from watchers that had died.
+TEST(WatchElection, TakesOverAlthoughEachTickIsLate)
 {
     auto election = make_election();
     election.note_report(report_of_elected(s_start), s_start);
@@ -198,56 +198,56 @@
     EXPECT_LE(ticks, 10U);
 }
 
-// The watcher's answer came in time, and the thread that notes it got no processor: it reported that its watch had
-// failed, and others stepped in.
-TEST(WatchElection, CountsNoLateTickOfItsOwnAgainstAWatch)
+// Guards against counting the own late tick against a watch. The reply arrived in time, but the thread that records it
+// had no processor time; the watcher reported a failed watch, and other gateways took over.
+TEST(WatchElection, DoesNotCountItsOwnLateTickAgainstAWatch)
 {
     auto election = make_election();
     election.set_elected(true);
     election.note_tick(s_start);
-    watch_soundly(election, s_start);
+    answer_watches(election, s_start);
     auto const now = s_start + s_call_limit + 1s;
     election.note_tick(now);
     EXPECT_TRUE(election.is_healthy(now));
     EXPECT_FALSE(election.is_healthy(now + s_call_limit + 1ms));
 }
 
-// A gateway that started on a host without spare processor time listed everything from the store, since it had heard no
-// report in its first second: its peers did not know it yet.
-TEST(WatchElection, CountsNoSilenceWhileItJoins)
+// Guards against counting silence before peers know a new gateway. On a host without spare processor time it received
+// no report in its first second and listed everything from the store.
+TEST(WatchElection, DoesNotCountSilenceWhileItJoins)
 {
     auto election = make_election();
     auto now = s_start;
-    join_for(2 * s_patience, election, now, WatchElection::PeerDiscovery::Found);
+    join_for(2 * s_silence_timeout, election, now, WatchElection::PeerDiscovery::Found);
     auto const joined = now - 100ms;
-    run_until(election, now, joined + s_patience - 1ms);
+    run_until(election, now, joined + s_silence_timeout - 1ms);
     EXPECT_FALSE(election.is_on_duty(now));
-    run_until(election, now, joined + s_patience);
+    run_until(election, now, joined + s_silence_timeout);
     EXPECT_TRUE(election.is_on_duty(now));
 }
 
-// The follower's thread looks between the ticks of the one that joins, which come up to 150 ms late.
-TEST(WatchElection, DoesNotStepInBetweenTheTicksOfAJoiningGateway)
+// The follower's thread checks between the ticks of the thread that joins, which are up to 150 ms late.
+TEST(WatchElection, DoesNotTakeOverBetweenTheTicksOfAJoiningGateway)
 {
     auto election = make_election();
     auto now = s_start;
-    for (; now < s_start + 2 * s_patience; now += 250ms) {
+    for (; now < s_start + 2 * s_silence_timeout; now += 250ms) {
         election.note_tick(now);
         election.note_joining(WatchElection::PeerDiscovery::NotFound, now);
         EXPECT_FALSE(election.is_on_duty(now + 240ms));
     }
 }
 
-TEST(WatchElection, StepsInAfterJoiningWhereNobodyIsFound)
+TEST(WatchElection, TakesOverAfterJoiningIfNoPeerIsFound)
 {
     auto election = make_election();
     auto now = s_start;
-    join_for(2 * s_patience, election, now, WatchElection::PeerDiscovery::NotFound);
+    join_for(2 * s_silence_timeout, election, now, WatchElection::PeerDiscovery::NotFound);
     run_until(election, now, now + 250ms);
     EXPECT_TRUE(election.is_on_duty(now));
 }
 
-TEST(WatchElection, VersionsThatKeepComingLeaveNobodyBehind)
+TEST(WatchElection, IsNotBehindWhileVersionsKeepArriving)
 {
     auto election = make_election();
     auto now = s_start;
@@ -258,16 +258,16 @@
         election.note_report(report, now);
         EXPECT_FALSE(election.is_on_duty(now));
         now += 300ms;
-        // Each comes after a while, when the next one is known already.
+        // Each version arrives when the next one is already known.
         election.note_versions({{}, {}, ListRevision(version)}, now);
     }
 }
 
-TEST(WatchElection, AHangingWatchIsNotSound)
+TEST(WatchElection, AHangingWatchIsNotHealthy)
 {
     auto election = make_election();
     election.set_elected(true);
-    watch_soundly(election, s_start);
+    answer_watches(election, s_start);
     EXPECT_TRUE(election.is_healthy(s_start + s_call_limit));
     EXPECT_FALSE(election.is_healthy(s_start + s_call_limit + 1ms));
     election.note_failure(WatchElection::Watch::Servers, s_start);
@@ -275,13 +275,13 @@
     EXPECT_TRUE(election.is_on_duty(s_start));
 }
 
-TEST(WatchElection, AFailedTryIsRepeatedAfterThePatienceOnly)
+TEST(WatchElection, RetriesAFailedCallOnlyAfterTheSilenceTimeout)
 {
     auto election = make_election();
     auto now = s_start;
-    run_until(election, now, s_start + s_patience);
+    run_until(election, now, s_start + s_silence_timeout);
     unsigned tries = 0;
-    for (; now < s_start + s_patience * 10; now += 10ms) {
+    for (; now < s_start + s_silence_timeout * 10; now += 10ms) {
         election.note_tick(now);
         if (!election.is_on_duty(now))
             continue;
@@ -294,7 +294,7 @@
 
 namespace {
 
-/// Gateways whose words reach each other, before a store that may be cut from each of them.
+/// Gateways that receive each other's reports, and a store that each of them may be unable to reach.
 struct Fleet {
     struct Node {
         WatchElection election;
@@ -306,14 +306,15 @@
     explicit Fleet(std::size_t count)
     {
         for (std::size_t number = 0; number < count; ++number) {
-            // The patience differs, as by their names.
-            auto const patience = s_patience + s_patience * static_cast<int>(number) / static_cast<int>(count);
-            nodes.push_back({WatchElection({patience}, s_start), number < 4});
+            // As in WatchDuty, timeouts differ between gateways.
+            auto const silence_timeout
+                = s_silence_timeout + s_silence_timeout * static_cast<int>(number) / static_cast<int>(count);
+            nodes.push_back({WatchElection({silence_timeout}, s_start), number < 4});
             nodes.back().election.set_elected(nodes.back().is_elected);
         }
     }
 
-    void turn(Core::MonotonicTime now)
+    void tick(Core::MonotonicTime now)
     {
         for (auto& node : nodes) {
             node.election.note_tick(now);
@@ -329,7 +330,7 @@
             node.election.note_report(report, now);
     }
 
-    /// A call fails at once where the store can't be reached, and else ends after its wait.
+    /// A call fails at once if the store is unreachable, and is answered otherwise.
     static void call(Node& node, Core::MonotonicTime now)
     {
         if (!node.election.is_on_duty(now))
@@ -349,7 +350,7 @@
         return static_cast<std::size_t>(
             std::ranges::count_if(nodes, [now](auto& node) { return node.is_alive && node.election.is_on_duty(now); }));
     }
-    [[nodiscard]] bool has_sound_one(Core::MonotonicTime now)
+    [[nodiscard]] bool has_healthy_watch(Core::MonotonicTime now)
     {
         return std::ranges::any_of(nodes,
             [now](auto const& node) { return node.is_alive && node.reaches_store && node.election.is_healthy(now); });
@@ -360,7 +361,7 @@
 
 }
 
-RC_GTEST_PROP(WatchElection, SomebodyWhoReachesTheStoreWatchesSoonAfterAnyFailures, ())
+RC_GTEST_PROP(WatchElection, AGatewayThatReachesTheStoreWatchesSoonAfterAnyFailures, ())
 {
     Fleet fleet(30);
     auto now = s_start;
@@ -370,23 +371,23 @@
             node.is_alive = *rc::gen::weightedElement<bool>({{2, true}, {1, false}});
             node.reaches_store = *rc::gen::weightedElement<bool>({{2, true}, {1, false}});
         }
-        // A watch that has hung since its last call is noticed first, then a patience passes; it is at most twice the
-        // least, and a failed try may come just before the store can be reached.
-        for (auto const end = now + s_call_limit + s_patience * 4 + 200ms; now < end; now += 50ms)
-            fleet.turn(now);
+        // A watch that hangs since its last call is noticed first, then a silence timeout passes. That is at most twice
+        // the shortest one, and a call may fail just before the store becomes reachable.
+        for (auto const end = now + s_call_limit + s_silence_timeout * 4 + 200ms; now < end; now += 50ms)
+            fleet.tick(now);
         bool const can_be_watched
             = std::ranges::any_of(fleet.nodes, [](auto const& node) { return node.is_alive && node.reaches_store; });
-        RC_ASSERT(!can_be_watched || fleet.has_sound_one(now));
+        RC_ASSERT(!can_be_watched || fleet.has_healthy_watch(now));
     }
-    // When all is well again, only the elected ones go on.
+    // Once nothing fails, only the elected gateways watch.
     for (auto& node : fleet.nodes)
         node.is_alive = node.reaches_store = true;
-    for (auto const end = now + s_call_limit + s_patience * 4; now < end; now += 50ms)
-        fleet.turn(now);
+    for (auto const end = now + s_call_limit + s_silence_timeout * 4; now < end; now += 50ms)
+        fleet.tick(now);
     RC_ASSERT(fleet.count_on_duty(now) == 4U);
 }
 
-TEST(WatchElection, AStoreThatIsAwayIsNotStormed)
+TEST(WatchElection, LimitsRetriesWhileTheStoreIsUnavailable)
 {
     Fleet fleet(100);
     for (auto& node : fleet.nodes)
@@ -397,11 +398,11 @@
             auto& node = fleet.nodes[number];
             tries[number] += node.election.is_on_duty(now) && !node.is_elected ? 1 : 0;
         }
-        fleet.turn(now);
+        fleet.tick(now);
     }
-    // Those who are not elected try no more often than each patience.
+    // Gateways that were not elected retry at most once per silence timeout.
     for (auto const count : tries)
-        EXPECT_LE(count, 20s / s_patience);
+        EXPECT_LE(count, 20s / s_silence_timeout);
 }
 
 TEST(PeerView, ElectsAFewOfEachGroupAndAllOfASmallFleet)
