--- a/Libraries/LibEntry/PeerExchange.cpp
+++ b/Libraries/LibEntry/PeerExchange.cpp
@@ -122,8 +122,8 @@
 {
     // An entry that has no state yet, or does not follow the platform, pulls from a peer at once.
     bool const has_state = m_table.current() != nullptr && m_servers.settled() != nullptr;
-    bool const follows_platform = m_is_platform_reachable && m_events.follows_platform();
-    return has_state && follows_platform ? m_settings.pull_delay : Core::Milliseconds(0);
+    bool const receives_platform_updates = m_is_platform_reachable && m_events.follows_platform();
+    return has_state && receives_platform_updates ? m_settings.pull_delay : Core::Milliseconds(0);
 }
 
 void PeerExchange::run()
--- a/Libraries/LibEntry/WatchElection.h
+++ b/Libraries/LibEntry/WatchElection.h
@@ -15,7 +15,7 @@
 struct StoreReport {
     /// Time of the last known report of an elected gateway with a healthy watch.
     std::optional<Core::MonotonicTime> elected_healthy_at;
-    /// The same for any gateway with a healthy watch.
+    /// Time of the last known report of any gateway with a healthy watch.
     std::optional<Core::MonotonicTime> any_healthy_at;
     /// The newest versions known to any gateway.
     StateVersions versions;
--- a/Libraries/LibGateway/GatewayServer.cpp
+++ b/Libraries/LibGateway/GatewayServer.cpp
@@ -257,14 +257,14 @@
 {
     if (!m_drain_started)
         return std::nullopt;
-    auto const elapsed = Core::elapsed(*m_drain_started, now);
-    auto const left = m_settings.drain_limit - s_drain_reserve - elapsed;
+    auto const drain_time = Core::elapsed(*m_drain_started, now);
+    auto const left = m_settings.drain_limit - s_drain_reserve - drain_time;
     // The duration of a stream is unknown, so that it needs the time limit of its route. Until the load balancer has
     // noticed the drain, streams are still accepted: callers cannot avoid this gateway yet, and most streams end in
     // time.
     auto const needed = call.is_stream() ? Core::elapsed(call.received, call.deadline)
                                          : call.request_class->first_token_target * s_targets_per_answer;
-    if (call.is_stream() && elapsed <= m_settings.drain_notice)
+    if (call.is_stream() && drain_time <= m_settings.drain_notice)
         return std::nullopt;
     if (needed <= left)
         return std::nullopt;
@@ -418,17 +418,17 @@
 
 void GatewayServer::tick_drain(Core::MonotonicTime now)
 {
-    auto const elapsed = Core::elapsed(*m_drain_started, now);
-    if (elapsed < m_settings.drain_notice)
+    auto const drain_time = Core::elapsed(*m_drain_started, now);
+    if (drain_time < m_settings.drain_notice)
         return;
     for (auto const& connection : m_connections)
         connection->close_if_idle();
     bool const is_idle = m_runs.empty() && m_connections.empty();
-    if (!is_idle && elapsed < m_settings.drain_limit - s_drain_reserve)
+    if (!is_idle && drain_time < m_settings.drain_limit - s_drain_reserve)
         return;
     for (auto const& run : m_runs)
         run->abandon();
-    m_log.write(Observe::LogEvent("drained").add("abandoned", m_runs.size()).add("after_ms", elapsed));
+    m_log.write(Observe::LogEvent("drained").add("abandoned", m_runs.size()).add("after_ms", drain_time));
     m_loop.stop();
 }
 
--- a/Tests/LibEntry/WatchDutyTest.cpp
+++ b/Tests/LibEntry/WatchDutyTest.cpp
@@ -53,8 +53,8 @@
     auto const reported_at = Core::monotonic_now();
     duty.note_report(report_of(1, reported_at), reported_at);
     // A healthy watch stays reported, so that only being behind puts this gateway on duty.
-    auto const is_on_duty = [&] { return duty_start.wait_for(50ms) == std::future_status::ready; };
-    while (!is_on_duty() && Core::elapsed(reported_at, Core::monotonic_now()) < s_apply_limit)
+    auto const has_duty_started = [&] { return duty_start.wait_for(50ms) == std::future_status::ready; };
+    while (!has_duty_started() && Core::elapsed(reported_at, Core::monotonic_now()) < s_apply_limit)
         duty.note_report(report_of(1, Core::monotonic_now()), Core::monotonic_now());
     duty.stop();
     // Half of the limit is left for the replies of the store, one of which may be lost.
