--- a/Libraries/LibGateway/GatewayServer.cpp
+++ b/Libraries/LibGateway/GatewayServer.cpp
@@ -184,9 +184,8 @@
     auto const now = Core::monotonic_now();
     if (auto const error = refuse_for_drain(call, now))
         return refuse(*caller, id, *error);
-    auto& run_started
-        = *m_runs.emplace_back(std::make_unique<GatewayRun>(m_context, std::move(call), std::move(caller)));
-    run_started.begin(now);
+    auto& run = *m_runs.emplace_back(std::make_unique<GatewayRun>(m_context, std::move(call), std::move(caller)));
+    run.begin(now);
 }
 
 bool GatewayServer::defer_until_table(std::shared_ptr<CallerConnection> const& caller, HTTP::RequestHead& head,
--- a/Tests/LibEntry/WatchElectionTest.cpp
+++ b/Tests/LibEntry/WatchElectionTest.cpp
@@ -38,8 +38,8 @@
 }
 
 /// The process starts and its peers do not know it yet; meanwhile it must not watch the store.
-void join_for(
-    Core::Milliseconds duration, WatchElection& election, Core::MonotonicTime& now, WatchElection::PeerDiscovery others)
+void join_for(Core::Milliseconds duration, WatchElection& election, Core::MonotonicTime& now,
+    WatchElection::PeerDiscovery discovery)
 {
     for (auto const end = now + duration; now < end; now += 100ms) {
         election.note_tick(now);
