--- a/Tests/LibEntry/WatchElectionTest.cpp
+++ b/Tests/LibEntry/WatchElectionTest.cpp
@@ -106,7 +106,7 @@
     EXPECT_FALSE(election.is_on_duty(now));
 }
 
-TEST(WatchElection, ReadsAVersionThatWasNotReceivedFromTheStore)
+TEST(WatchElection, ReadsFromTheStoreAVersionThatWasNotReceived)
 {
     auto election = make_election();
     auto now = s_start;
