--- a/Libraries/LibGateway/GatewayServer.cpp
+++ b/Libraries/LibGateway/GatewayServer.cpp
@@ -478,7 +478,7 @@
         {"servers-revision", m_servers ? m_servers->revision.value() : 0}, {"backend-servers", servers}};
     status["drained-domains"] = m_fleet.drains().failure_domains;
     status["drains-version"] = m_fleet.drains().version.value();
-    status["known-gateways"] = m_members ? nlohmann::json(m_members->others.size()) : nlohmann::json();
+    status["known-gateways"] = m_members ? nlohmann::json(m_members->peers.size()) : nlohmann::json();
     status["held-bytes"] = m_context.held_bytes;
     status["quarantined"] = quarantine_status(m_crashes.ledger(), now);
     if (m_context.usage != nullptr)
