--- a/Libraries/LibGateway/CrashWatch.cpp
+++ b/Libraries/LibGateway/CrashWatch.cpp
@@ -21,7 +21,7 @@
 
     explicit Probe(boost::asio::io_context& loop)
         : m_socket(loop)
-        , m_timer(loop, CrashDoubts::s_patience)
+        , m_timer(loop, SuspectedCrashes::s_probe_timeout)
     {
     }
 
@@ -69,12 +69,12 @@
         return;
     auto const& instance = server.record().instance;
     Policy::CrashWitness const witness {digest, server.life(), exposure, now};
-    switch (m_doubts.add(witness, now)) {
-    case CrashDoubts::Step::AskServer:
+    switch (m_suspected_crashes.add(witness, now)) {
+    case SuspectedCrashes::Step::ProbeServer:
         return ask(instance, server.record().address, witness.server.life);
-    case CrashDoubts::Step::Count:
+    case SuspectedCrashes::Step::Count:
         return count(instance, witness, now);
-    case CrashDoubts::Step::Wait:
+    case SuspectedCrashes::Step::AwaitProbe:
         return;
     }
 }
@@ -85,13 +85,13 @@
     probe->begin(address, [this, instance, life](Probe::Result result) {
         if (result == Probe::Result::Refused)
             return handle_refusal(instance, life, Core::monotonic_now());
-        m_doubts.drop(life);
+        m_suspected_crashes.drop(life);
     });
 }
 
 void CrashWatch::handle_refusal(std::string const& instance, std::uint64_t life, Core::MonotonicTime now)
 {
-    for (auto const& witness : m_doubts.note_refused(life, now))
+    for (auto const& witness : m_suspected_crashes.note_refused(life, now))
         count(instance, witness, now);
 }
 
--- a/Libraries/LibGateway/CrashWatch.h
+++ b/Libraries/LibGateway/CrashWatch.h
@@ -2,8 +2,8 @@
 
 #include <LibCluster/SharedQuarantine.h>
 #include <LibGateway/BackendView.h>
-#include <LibGateway/CrashDoubts.h>
 #include <LibGateway/GatewayMetrics.h>
+#include <LibGateway/SuspectedCrashes.h>
 #include <LibObserve/EventLog.h>
 #include <LibPolicy/CrashLedger.h>
 
@@ -46,7 +46,7 @@
     GatewayMetrics& m_metrics;
     Cluster::SharedQuarantine* m_kept;
     Policy::CrashLedger m_ledger;
-    CrashDoubts m_doubts;
+    SuspectedCrashes m_suspected_crashes;
 };
 
 }
