--- a/Libraries/LibGateway/CrashWatch.cpp
+++ b/Libraries/LibGateway/CrashDetector.cpp
@@ -1,4 +1,4 @@
-#include <LibGateway/CrashWatch.h>
+#include <LibGateway/CrashDetector.h>
 
 #include <memory>
 #include <utility>
@@ -10,11 +10,11 @@
 namespace GraniteField::Gateway {
 
 /// One connection that is opened and closed again, with nothing sent.
-class CrashWatch::Probe : public std::enable_shared_from_this<Probe> {
+class CrashDetector::Probe : public std::enable_shared_from_this<Probe> {
 public:
     enum class Result {
         Refused,
-        Taken,
+        Accepted,
         /// No answer in time, or another failure.
         Unknown,
     };
@@ -26,7 +26,7 @@
     }
 
     /// `on_result` is called once, from the loop.
-    void begin(Core::Address const& address, auto on_result)
+    void start(Core::Address const& address, auto on_result)
     {
         boost::asio::ip::tcp::endpoint const endpoint(boost::asio::ip::make_address(address.host()), address.port());
         m_timer.async_wait([self = shared_from_this()](auto const& error) {
@@ -44,7 +44,7 @@
     static Result result_of(boost::system::error_code const& error)
     {
         if (!error)
-            return Result::Taken;
+            return Result::Accepted;
         return error == boost::asio::error::connection_refused ? Result::Refused : Result::Unknown;
     }
 
@@ -52,16 +52,16 @@
     boost::asio::steady_timer m_timer;
 };
 
-CrashWatch::CrashWatch(
-    boost::asio::io_context& loop, Observe::EventLog& log, GatewayMetrics& metrics, Cluster::SharedQuarantine* kept)
+CrashDetector::CrashDetector(boost::asio::io_context& loop, Observe::EventLog& log, GatewayMetrics& metrics,
+    Cluster::SharedQuarantine* store_quarantine)
     : m_loop(loop)
     , m_log(log)
     , m_metrics(metrics)
-    , m_kept(kept)
+    , m_store_quarantine(store_quarantine)
 {
 }
 
-void CrashWatch::note_break(
+void CrashDetector::note_broken_answer(
     BackendView const& server, Core::RequestDigest const& digest, Policy::Exposure exposure, Core::MonotonicTime now)
 {
     // One that leaves ends with whatever it still has.
@@ -71,31 +71,32 @@
     Policy::CrashWitness const witness {digest, server.life(), exposure, now};
     switch (m_suspected_crashes.add(witness, now)) {
     case SuspectedCrashes::Step::ProbeServer:
-        return ask(instance, server.record().address, witness.server.life);
+        return probe_server(instance, server.record().address, witness.server.life);
     case SuspectedCrashes::Step::Count:
-        return count(instance, witness, now);
+        return count_witness(instance, witness, now);
     case SuspectedCrashes::Step::AwaitProbe:
         return;
     }
 }
 
-void CrashWatch::ask(std::string const& instance, Core::Address const& address, std::uint64_t life)
+void CrashDetector::probe_server(std::string const& instance, Core::Address const& address, std::uint64_t life)
 {
     auto const probe = std::make_shared<Probe>(m_loop);
-    probe->begin(address, [this, instance, life](Probe::Result result) {
+    probe->start(address, [this, instance, life](Probe::Result result) {
         if (result == Probe::Result::Refused)
-            return handle_refusal(instance, life, Core::monotonic_now());
+            return handle_refused_probe(instance, life, Core::monotonic_now());
         m_suspected_crashes.drop(life);
     });
 }
 
-void CrashWatch::handle_refusal(std::string const& instance, std::uint64_t life, Core::MonotonicTime now)
+void CrashDetector::handle_refused_probe(std::string const& instance, std::uint64_t life, Core::MonotonicTime now)
 {
     for (auto const& witness : m_suspected_crashes.note_refused(life, now))
-        count(instance, witness, now);
+        count_witness(instance, witness, now);
 }
 
-void CrashWatch::count(std::string_view instance, Policy::CrashWitness const& witness, Core::MonotonicTime now)
+void CrashDetector::count_witness(
+    std::string_view instance, Policy::CrashWitness const& witness, Core::MonotonicTime now)
 {
     m_ledger.note_crash(witness, now);
     m_metrics.note_crash_witness();
@@ -107,38 +108,39 @@
                     .add("moments", m_ledger.moments_of(witness.digest)));
 }
 
-void CrashWatch::turn(Core::MonotonicTime now)
+void CrashDetector::tick(Core::MonotonicTime now)
 {
-    take_kept(now);
+    import_stored(now);
     m_ledger.turn(now);
     for (auto const& conclusion : m_ledger.take_conclusions()) {
         log(conclusion);
-        keep(conclusion);
+        store(conclusion);
     }
     m_metrics.set_quarantined(m_ledger.count_quarantined());
 }
 
-void CrashWatch::take_kept(Core::MonotonicTime now)
+void CrashDetector::import_stored(Core::MonotonicTime now)
 {
-    if (m_kept == nullptr)
+    if (m_store_quarantine == nullptr)
         return;
     Policy::CrashNews news;
-    for (auto const& digest : m_kept->take_loaded())
+    for (auto const& digest : m_store_quarantine->take_loaded())
         news.quarantined.push_back({digest, now});
     m_ledger.take(news, Policy::CrashLedger::Relaying::Yes, now);
 }
 
-void CrashWatch::keep(Policy::CrashConclusion const& conclusion)
+void CrashDetector::store(Policy::CrashConclusion const& conclusion)
 {
-    if (m_kept == nullptr)
+    if (m_store_quarantine == nullptr)
         return;
     using Change = Cluster::QuarantineChange;
-    bool const is_held = conclusion.kind == Policy::CrashConclusion::Kind::Quarantined;
-    if (is_held || conclusion.was_quarantined)
-        m_kept->add_change({is_held ? Change::Kind::Kept : Change::Kind::Dropped, conclusion.digest});
+    bool const is_quarantined = conclusion.kind == Policy::CrashConclusion::Kind::Quarantined;
+    if (is_quarantined || conclusion.was_quarantined)
+        m_store_quarantine->add_change(
+            {is_quarantined ? Change::Kind::Kept : Change::Kind::Dropped, conclusion.digest});
 }
 
-void CrashWatch::log(Policy::CrashConclusion const& conclusion)
+void CrashDetector::log(Policy::CrashConclusion const& conclusion)
 {
     using Kind = Policy::CrashConclusion::Kind;
     auto const write = [&](Observe::LogEvent event) {
--- a/Libraries/LibGateway/GatewayRun.cpp
+++ b/Libraries/LibGateway/GatewayRun.cpp
@@ -367,7 +367,7 @@
     auto const head_came = m_attempt->head_came();
     auto const sent = m_attempt->begun();
     note_unanswered();
-    m_context.crashes.note_break(m_attempt->server(), m_call.digest(), exposure(now), now);
+    m_context.crashes.note_broken_answer(m_attempt->server(), m_call.digest(), exposure(now), now);
     if (m_context.usage != nullptr && m_call.is_stream() && !*m_is_counted && !m_call.workspace.empty())
         m_context.unseen_runs.add(m_choice.server, m_call.workspace, m_is_counted, now);
     end_attempt(AttemptResult::Failure, now);
--- a/Libraries/LibGateway/GatewayRun.h
+++ b/Libraries/LibGateway/GatewayRun.h
@@ -4,7 +4,7 @@
 #include <LibGateway/BackendAttempt.h>
 #include <LibGateway/BackendFleet.h>
 #include <LibGateway/CallerConnection.h>
-#include <LibGateway/CrashWatch.h>
+#include <LibGateway/CrashDetector.h>
 #include <LibGateway/GatewayCall.h>
 #include <LibGateway/GatewayMetrics.h>
 #include <LibGateway/LoadExchange.h>
@@ -74,7 +74,7 @@
     Dialect dialect;
     BackendFleet& fleet;
     LoadExchange& load;
-    CrashWatch& crashes;
+    CrashDetector& crashes;
     /// Where requests that begin to run are counted; null where nobody reports them.
     Cluster::SharedDuty* usage;
     UnseenRuns unseen_runs;
--- a/Libraries/LibGateway/GatewayServer.cpp
+++ b/Libraries/LibGateway/GatewayServer.cpp
@@ -359,7 +359,7 @@
     m_context.entry_count = m_membership.other_entries + 1;
     follow_members();
     m_fleet.observe(now);
-    m_crashes.turn(now);
+    m_crashes.tick(now);
     tick_runs(now);
     if (m_context.usage != nullptr)
         m_context.unseen_runs.settle(*m_context.usage, now);
--- a/Libraries/LibGateway/GatewayServer.h
+++ b/Libraries/LibGateway/GatewayServer.h
@@ -123,7 +123,7 @@
     boost::asio::io_context m_loop {1};
     GatewayMetrics m_metrics;
     BackendFleet m_fleet;
-    CrashWatch m_crashes;
+    CrashDetector m_crashes;
     std::optional<DutySharing> m_duty_sharing;
     LoadExchange m_load;
     RunContext m_context;
