--- a/Libraries/LibGateway/GatewayRun.h
+++ b/Libraries/LibGateway/GatewayRun.h
@@ -8,7 +8,7 @@
 #include <LibGateway/GatewayCall.h>
 #include <LibGateway/GatewayMetrics.h>
 #include <LibGateway/LoadExchange.h>
-#include <LibGateway/UnseenRuns.h>
+#include <LibGateway/UnconfirmedRuns.h>
 #include <LibHTTP/EventFramer.h>
 #include <LibObserve/EventLog.h>
 #include <LibPolicy/Admission.h>
@@ -77,7 +77,7 @@
     CrashDetector& crashes;
     /// Where requests that begin to run are counted; null where nobody reports them.
     Cluster::SharedDuty* usage;
-    UnseenRuns unseen_runs;
+    UnconfirmedRuns unseen_runs;
     Policy::Admission admission;
     /// By service.
     std::map<std::string, Policy::FleetRetryBudget> budgets;
--- a/Libraries/LibGateway/UnseenRuns.h
+++ b/Libraries/LibGateway/UnconfirmedRuns.h
@@ -15,10 +15,10 @@
 /// them; where it has died it runs none. Which of the two it was is known a moment later, when gateways have tried to
 /// reach it again: only then they are counted. Guards against reports that fall short where engines lose answers. On
 /// the gateway's thread.
-class UnseenRuns {
+class UnconfirmedRuns {
 public:
     /// What one gateway meets at a server is known to all within 150 ms; a busy engine is tried at once.
-    static constexpr Core::Milliseconds s_doubt {300};
+    static constexpr Core::Milliseconds s_confirmation_delay {300};
 
     /// `is_counted` is the request's own, shared with the run that may go on elsewhere.
     void add(std::shared_ptr<BackendView> server, std::string workspace, std::shared_ptr<bool> is_counted,
@@ -31,10 +31,10 @@
     void settle(Cluster::SharedDuty& usage, Core::MonotonicTime now)
     {
         std::erase_if(m_runs, [&](Run const& run) {
-            if (Core::elapsed(run.broken, now) < s_doubt)
+            if (Core::elapsed(run.broken_at, now) < s_confirmation_delay)
                 return false;
-            bool const lives = !run.server->suspected_since() && run.server->is_listed();
-            if (lives && !std::exchange(*run.is_counted, true))
+            bool const is_alive = !run.server->suspected_since() && run.server->is_listed();
+            if (is_alive && !std::exchange(*run.is_counted, true))
                 usage.count(run.workspace, now);
             return true;
         });
@@ -45,7 +45,7 @@
         std::shared_ptr<BackendView> server;
         std::string workspace;
         std::shared_ptr<bool> is_counted;
-        Core::MonotonicTime broken;
+        Core::MonotonicTime broken_at;
     };
 
     std::vector<Run> m_runs;
