--- a/Libraries/LibGateway/LoadLedger.cpp
+++ b/Libraries/LibGateway/LoadAggregator.cpp
@@ -1,32 +1,32 @@
-#include <LibGateway/LoadLedger.h>
+#include <LibGateway/LoadAggregator.h>
 
 namespace GraniteField::Gateway {
 
-bool LoadLedger::take(std::uint64_t gateway, Report report)
+bool LoadAggregator::update(std::uint64_t gateway, Report report)
 {
     auto& known = m_reports[gateway];
     if (report.sequence <= known.sequence)
         return false;
-    replace(known.loads, report.loads);
+    replace_loads(known.loads, report.loads);
     known = std::move(report);
     return true;
 }
 
-std::vector<std::uint64_t> LoadLedger::forget_silent(Core::MonotonicTime now)
+std::vector<std::uint64_t> LoadAggregator::remove_silent(Core::MonotonicTime now)
 {
     std::vector<std::uint64_t> silent;
     for (auto const& [gateway, report] : m_reports) {
-        if (Core::elapsed(report.heard, now) > s_memory)
+        if (Core::elapsed(report.received_at, now) > s_report_expiry)
             silent.push_back(gateway);
     }
     for (auto const gateway : silent) {
-        replace(m_reports.at(gateway).loads, {});
+        replace_loads(m_reports.at(gateway).loads, {});
         m_reports.erase(gateway);
     }
     return silent;
 }
 
-LoadsByServer LoadLedger::take_changes()
+LoadsByServer LoadAggregator::take_changes()
 {
     LoadsByServer changes;
     for (auto const server : std::exchange(m_changed, {})) {
@@ -36,25 +36,25 @@
     return changes;
 }
 
-std::uint64_t LoadLedger::sequence_of(std::uint64_t gateway) const
+std::uint64_t LoadAggregator::last_sequence_of(std::uint64_t gateway) const
 {
     auto const found = m_reports.find(gateway);
     return found == m_reports.end() ? 0 : found->second.sequence;
 }
 
-void LoadLedger::replace(LoadsByServer const& before, LoadsByServer const& now)
+void LoadAggregator::replace_loads(LoadsByServer const& before, LoadsByServer const& now)
 {
     for (auto const& [server, load] : before) {
         auto const found = now.find(server);
-        change(server, load, found == now.end() ? ServerLoad() : found->second);
+        update_sum(server, load, found == now.end() ? ServerLoad() : found->second);
     }
     for (auto const& [server, load] : now) {
         if (!before.contains(server))
-            change(server, {}, load);
+            update_sum(server, {}, load);
     }
 }
 
-void LoadLedger::change(std::uint64_t server, ServerLoad const& before, ServerLoad const& now)
+void LoadAggregator::update_sum(std::uint64_t server, ServerLoad const& before, ServerLoad const& now)
 {
     if (before == now)
         return;
--- a/Libraries/LibGateway/LoadSharing.cpp
+++ b/Libraries/LibGateway/LoadSharing.cpp
@@ -174,11 +174,11 @@
         m_duties->take_report(report, now);
     m_crashes.take(report.crashes(), Policy::CrashLedger::Relaying::Yes, now);
     m_signals.take(report.signals(), Policy::Relaying::Yes, now);
-    m_has_newcomer = m_has_newcomer || m_ledger.sequence_of(report.sender()) == 0;
-    bool const has_missed_one = m_ledger.sequence_of(report.sender()) + 1 < report.sequence();
+    m_has_newcomer = m_has_newcomer || m_aggregator.last_sequence_of(report.sender()) == 0;
+    bool const has_missed_one = m_aggregator.last_sequence_of(report.sender()) + 1 < report.sequence();
     auto loads = loads_of(report.servers());
     m_reporters.take(report.sender(), report.sequence(), LoadSources::Extent::Whole, loads, now);
-    if (!m_ledger.take(report.sender(), {report.sequence(), now, from, std::move(loads)}))
+    if (!m_aggregator.update(report.sender(), {report.sequence(), now, from, std::move(loads)}))
         return;
     collect_suspicions(span_of(report.unreachable()), span_of(report.broken()), span_of(report.answering()), now);
     if (has_missed_one)
@@ -224,7 +224,7 @@
         return;
     believe_placements(part.placements());
     believe_suspicions(part, now);
-    if (m_ledger.reports().empty() || m_forwarded.size() >= s_most_forwarded)
+    if (m_aggregator.reports().empty() || m_forwarded.size() >= s_most_forwarded)
         return;
     m_forwarded.push_back(part);
     m_forwarded.back().clear_counted();
@@ -330,7 +330,7 @@
         m_duties->duty().turn(own_clock, now);
     m_suspicions.forget_old(now);
     m_relays.forget_silent(now, s_relay_memory, s_entry_memory);
-    for (auto const gateway : m_ledger.forget_silent(now))
+    for (auto const gateway : m_aggregator.remove_silent(now))
         m_reporters.forget(gateway);
     std::vector<OutgoingLoad> outgoing;
     auto const relay = m_election.choose(now);
@@ -340,11 +340,11 @@
         count_own(now);
     else if (relay)
         report_to(*relay, outgoing, own_clock, now);
-    m_is_relay = relays_itself || !m_ledger.reports().empty();
+    m_is_relay = relays_itself || !m_aggregator.reports().empty();
     if (m_is_relay)
         send_as_relay(outgoing, now);
     m_is_busy = !m_own_reports.empty() && !m_own_reports.back().loads.empty();
-    m_is_busy = m_is_busy || !m_ledger.sums().empty();
+    m_is_busy = m_is_busy || !m_aggregator.sums().empty();
     return outgoing;
 }
 
@@ -390,7 +390,7 @@
 {
     auto loads = own_loads();
     auto const sequence = begin_report(loads);
-    m_ledger.take(m_self, {sequence, now, "", std::move(loads)});
+    m_aggregator.update(m_self, {sequence, now, "", std::move(loads)});
     std::ranges::move(m_placements, std::back_inserter(m_relay_placements));
     m_relay_placements.resize(std::min(m_relay_placements.size(), s_most_placements));
     m_placements.clear();
@@ -403,21 +403,21 @@
     if (Core::elapsed(m_refreshed, now) >= s_refresh) {
         m_refreshed = now;
         m_to_refresh.clear();
-        for (auto const& [server, sum] : m_ledger.sums())
+        for (auto const& [server, sum] : m_aggregator.sums())
             m_to_refresh.push_back(server);
         m_refresh_step = m_to_refresh.size() / s_turns_of_a_refresh + 1;
     }
     for (std::size_t count = 0; count < m_refresh_step && !m_to_refresh.empty(); ++count) {
-        auto const sum = m_ledger.sums().find(m_to_refresh.back());
+        auto const sum = m_aggregator.sums().find(m_to_refresh.back());
         m_to_refresh.pop_back();
-        if (sum != m_ledger.sums().end())
+        if (sum != m_aggregator.sums().end())
             loads.insert(*sum);
     }
 }
 
 LoadSharing::RelayedLoad LoadSharing::make_part(Core::MonotonicTime now)
 {
-    auto loads = m_ledger.take_changes();
+    auto loads = m_aggregator.take_changes();
     for (auto const& item : std::exchange(m_left_over, {}))
         loads.insert(item);
     add_refreshed(loads, now);
@@ -447,7 +447,7 @@
 void LoadSharing::send_as_relay(std::vector<OutgoingLoad>& outgoing, Core::MonotonicTime now)
 {
     bool const is_due = Core::elapsed(m_relayed, now) >= s_heartbeat;
-    bool const has_news = m_ledger.has_changes() || !m_relay_placements.empty() || !m_forwarded.empty()
+    bool const has_news = m_aggregator.has_changes() || !m_relay_placements.empty() || !m_forwarded.empty()
         || !m_suspected_to_tell.empty() || !m_answering_to_tell.empty() || has_shared_news(now);
     if (!is_due && !has_news)
         return;
@@ -465,7 +465,7 @@
         m_signals.fill_everything(*part.mutable_signals(), now);
     }
     Datagram to_reporters;
-    for (auto const& [gateway, report] : m_ledger.reports()) {
+    for (auto const& [gateway, report] : m_aggregator.reports()) {
         auto& counted = *part.add_counted();
         counted.set_gateway(gateway);
         counted.set_sequence(report.sequence);
@@ -474,7 +474,7 @@
     for (auto& forwarded : std::exchange(m_forwarded, {}))
         *to_reporters.add_relayed() = std::move(forwarded);
     auto const reporters_bytes = to_bytes(to_reporters);
-    for (auto const& [gateway, report] : m_ledger.reports()) {
+    for (auto const& [gateway, report] : m_aggregator.reports()) {
         if (!report.address.empty())
             outgoing.push_back({report.address, reporters_bytes});
     }
--- a/Libraries/LibGateway/LoadSharing.h
+++ b/Libraries/LibGateway/LoadSharing.h
@@ -7,7 +7,7 @@
 #include <LibGateway/CrashSharing.h>
 #include <LibGateway/DutySharing.h>
 #include <LibGateway/GatewayCall.h>
-#include <LibGateway/LoadLedger.h>
+#include <LibGateway/LoadAggregator.h>
 #include <LibGateway/LoadSources.h>
 #include <LibGateway/RelayElection.h>
 #include <LibGateway/SignalSharing.h>
@@ -158,7 +158,7 @@
     /// A gateway that was not known reports here.
     bool m_has_newcomer {false};
     RelayElection m_election;
-    LoadLedger m_ledger;
+    LoadAggregator m_aggregator;
     LoadSources m_reporters;
     LoadSources m_relays;
     bool m_is_busy {false};
--- a/Libraries/LibGateway/LoadSources.h
+++ b/Libraries/LibGateway/LoadSources.h
@@ -2,7 +2,7 @@
 
 #include <LibCore/Time.h>
 #include <LibGateway/BackendFleet.h>
-#include <LibGateway/LoadLedger.h>
+#include <LibGateway/LoadAggregator.h>
 
 #include <cstdint>
 #include <map>
--- a/Tests/LibGateway/LoadSharingTest.cpp
+++ b/Tests/LibGateway/LoadSharingTest.cpp
@@ -92,7 +92,7 @@
     view(node(3), "i-2").begin_attempt({1, 0, 0});
     play(s_knowledge_limit);
     EXPECT_EQ(mistaken("i-2"), std::vector<std::string>());
-    play(LoadLedger::s_memory);
+    play(LoadAggregator::s_report_expiry);
     EXPECT_EQ(mistaken("i-1"), std::vector<std::string>());
     EXPECT_EQ(count_relays(), s_groups);
 }
