--- a/Libraries/LibGateway/LoadSharing.cpp
+++ b/Libraries/LibGateway/LoadSharing.cpp
@@ -263,7 +263,7 @@
 {
     std::vector<std::uint64_t> dead(unreachable.begin(), unreachable.end());
     for (auto const server : broken) {
-        if (m_suspicions.note_break(server, now))
+        if (m_failure_detector.note_broken_answer(server, now))
             dead.push_back(server);
     }
     for (auto const server : dead) {
@@ -288,7 +288,7 @@
 {
     bool const is_own_domain = counts_own(part);
     for (auto const server : part.suspected()) {
-        if (is_own_domain || m_suspicions.note_other_domain(server, part.relay(), now))
+        if (is_own_domain || m_failure_detector.note_remote_suspicion(server, part.relay(), now))
             suspect(server, now);
     }
     // A server that answers elsewhere may still be out of reach from here.
@@ -328,7 +328,7 @@
 {
     if (m_duties != nullptr)
         m_duties->duty().turn(own_clock, now);
-    m_suspicions.forget_old(now);
+    m_failure_detector.remove_expired(now);
     m_relays.forget_silent(now, s_relay_memory, s_entry_memory);
     for (auto const gateway : m_aggregator.remove_silent(now))
         m_reporters.forget(gateway);
--- a/Libraries/LibGateway/LoadSharing.h
+++ b/Libraries/LibGateway/LoadSharing.h
@@ -6,12 +6,12 @@
 #include <LibGateway/BackendFleet.h>
 #include <LibGateway/CrashSharing.h>
 #include <LibGateway/DutySharing.h>
+#include <LibGateway/FailureDetector.h>
 #include <LibGateway/GatewayCall.h>
 #include <LibGateway/LoadAggregator.h>
 #include <LibGateway/LoadSources.h>
 #include <LibGateway/RelayElection.h>
 #include <LibGateway/SignalSharing.h>
-#include <LibGateway/SuspicionLedger.h>
 
 #include <Peers.pb.h>
 
@@ -180,7 +180,7 @@
     Core::MonotonicTime m_relayed;
     Placements m_relay_placements;
     std::vector<RelayedLoad> m_forwarded;
-    SuspicionLedger m_suspicions;
+    FailureDetector m_failure_detector;
     absl::flat_hash_set<std::uint64_t> m_suspected_to_tell;
     absl::flat_hash_set<std::uint64_t> m_answering_to_tell;
     /// Other gateways; they may all try a suspected server again.
--- a/Meta/deliberate-breaks.sh
+++ b/Meta/deliberate-breaks.sh
@@ -49,7 +49,7 @@
     '35|Libraries/LibGateway/RelayElection.cpp|s/if (has_paused(m_last_told, now))/if (has_paused(m_last_told, now) \&\& false)/|LoadSharingTest|*ReplacesADeadRelay*'
     '37|Libraries/LibGateway/GatewayRun.h|s/most_connects {64};/most_connects {4};/|AttemptRulesTest|*AQuarterOfThemDied*'
     '38|Libraries/LibPolicy/FleetRetryBudget.h|s/if (earned() >= 1)/if (earned() >= 1 \&\& slice.spent == 0)/|GatewayPropertiesTest|*AWindowEarned*'
-    '39|Libraries/LibGateway/SuspicionLedger.cpp|s/if (breaks.size() < s_breaks_to_suspect)/if (breaks.size() < 100 * s_breaks_to_suspect)/|LoadSharingTest|*StreamsBreakTogether*'
+    '39|Libraries/LibGateway/FailureDetector.cpp|s/if (breaks.size() < s_min_breaks)/if (breaks.size() < 100 * s_min_breaks)/|LoadSharingTest|*StreamsBreakTogether*'
     '40|Libraries/LibGateway/GatewayRun.cpp|s/return suspected \&\& last_input/return false \&\& suspected \&\& last_input/|AttemptRulesTest|*OthersFoundDead*'
     '41|Libraries/LibGateway/EarlyRequests.h|s/return std::min(s_longest_wait, patience/return 0 * std::min(s_longest_wait, patience/|AttemptRulesTest|*BeforeTheFirstTableWaits*'
     '36|Libraries/LibGateway/LoadSharing.cpp|s/load = without(load, found->second);/load = without(load, {});/|LoadSharingTest|*KnowsWhatAny*'
--- a/Tests/LibGateway/LoadSharingTest.cpp
+++ b/Tests/LibGateway/LoadSharingTest.cpp
@@ -162,7 +162,7 @@
     node(4).sharing.note_broken(view(node(4), "i-2"));
     play(s_knowledge_limit);
     EXPECT_FALSE(view(node(4), "i-2").is_avoided(m_now));
-    play(SuspicionLedger::s_window);
+    play(FailureDetector::s_break_window);
     node(4).sharing.note_broken(view(node(4), "i-3"));
     node(7).sharing.note_broken(view(node(7), "i-3"));
     play(s_knowledge_limit);
