--- a/Libraries/LibGateway/LoadExchange.cpp
+++ b/Libraries/LibGateway/LoadExchange.cpp
@@ -98,7 +98,7 @@
     m_log.write(Observe::LogEvent("load-relay").add("relays", m_was_relay).add("reports_to", m_told_relay));
 }
 
-void LoadExchange::send(OutgoingLoad const& outgoing)
+void LoadExchange::send(OutgoingDatagram const& outgoing)
 {
     boost::system::error_code ignored;
     m_bytes_out.add(m_socket.send_to(boost::asio::buffer(*outgoing.bytes), endpoint_of(outgoing.address), 0, ignored));
--- a/Libraries/LibGateway/LoadExchange.h
+++ b/Libraries/LibGateway/LoadExchange.h
@@ -62,7 +62,7 @@
     void turn(Core::MonotonicTime now);
     /// Logs whom this gateway reports to, and whether it relays, when that changes.
     void tell_relay();
-    void send(OutgoingLoad const&);
+    void send(OutgoingDatagram const&);
     [[nodiscard]] Udp::endpoint const& endpoint_of(std::string const& address);
     void wait_for_datagrams();
     /// Takes all datagrams that have arrived.
--- a/Libraries/LibGateway/LoadSharing.cpp
+++ b/Libraries/LibGateway/LoadSharing.cpp
@@ -324,7 +324,7 @@
     return is_needed ? s_heartbeat : m_election.interval();
 }
 
-std::vector<OutgoingLoad> LoadSharing::turn(Cluster::WallTime own_clock, Core::MonotonicTime now)
+std::vector<OutgoingDatagram> LoadSharing::turn(Cluster::WallTime own_clock, Core::MonotonicTime now)
 {
     if (m_duties != nullptr)
         m_duties->duty().turn(own_clock, now);
@@ -332,7 +332,7 @@
     m_relays.forget_silent(now, s_relay_memory, s_entry_memory);
     for (auto const gateway : m_aggregator.remove_silent(now))
         m_reporters.forget(gateway);
-    std::vector<OutgoingLoad> outgoing;
+    std::vector<OutgoingDatagram> outgoing;
     auto const relay = m_election.choose(now);
     m_relay = relay.value_or(std::string());
     bool const relays_itself = relay && !m_election.is_member(*relay);
@@ -348,8 +348,8 @@
     return outgoing;
 }
 
-void LoadSharing::report_to(
-    std::string const& relay, std::vector<OutgoingLoad>& outgoing, Cluster::WallTime own_clock, Core::MonotonicTime now)
+void LoadSharing::report_to(std::string const& relay, std::vector<OutgoingDatagram>& outgoing,
+    Cluster::WallTime own_clock, Core::MonotonicTime now)
 {
     auto loads = own_loads();
     bool const has_changed = m_own_reports.empty() || loads != m_own_reports.back().loads;
@@ -444,7 +444,7 @@
     return part;
 }
 
-void LoadSharing::send_as_relay(std::vector<OutgoingLoad>& outgoing, Core::MonotonicTime now)
+void LoadSharing::send_as_relay(std::vector<OutgoingDatagram>& outgoing, Core::MonotonicTime now)
 {
     bool const is_due = Core::elapsed(m_relayed, now) >= s_heartbeat;
     bool const has_news = m_aggregator.has_changes() || !m_relay_placements.empty() || !m_forwarded.empty()
--- a/Libraries/LibGateway/LoadSharing.h
+++ b/Libraries/LibGateway/LoadSharing.h
@@ -28,7 +28,7 @@
 namespace GraniteField::Gateway {
 
 /// A datagram that is to be sent.
-struct OutgoingLoad {
+struct OutgoingDatagram {
     std::string address;
     std::shared_ptr<std::string const> bytes;
 };
@@ -91,7 +91,7 @@
     [[nodiscard]] Entry::StoreReport take_store_report() { return std::exchange(m_received_store_report, {}); }
 
     /// What there is to send now; `own_clock` is this host's time of day.
-    [[nodiscard]] std::vector<OutgoingLoad> turn(Cluster::WallTime own_clock, Core::MonotonicTime now);
+    [[nodiscard]] std::vector<OutgoingDatagram> turn(Cluster::WallTime own_clock, Core::MonotonicTime now);
 
     /// Time until the next call of turn(). A gateway that runs late calls it less often, unless others depend on its
     /// datagrams: those that report to it, or all if it watches the platform's store.
@@ -144,9 +144,9 @@
     }
     [[nodiscard]] bool has_news_of_duties() const { return m_duties != nullptr && m_duties->has_changes(); }
     void report_to(
-        std::string const& relay, std::vector<OutgoingLoad>&, Cluster::WallTime own_clock, Core::MonotonicTime now);
+        std::string const& relay, std::vector<OutgoingDatagram>&, Cluster::WallTime own_clock, Core::MonotonicTime now);
     void count_own(Core::MonotonicTime now);
-    void send_as_relay(std::vector<OutgoingLoad>&, Core::MonotonicTime now);
+    void send_as_relay(std::vector<OutgoingDatagram>&, Core::MonotonicTime now);
     [[nodiscard]] RelayedLoad make_part(Core::MonotonicTime now);
     void add_refreshed(LoadsByServer&, Core::MonotonicTime now);
 
--- a/Tests/LibGateway/LoadFleet.h
+++ b/Tests/LibGateway/LoadFleet.h
@@ -120,7 +120,7 @@
         node.crashes.turn(m_now);
         auto datagrams = node.sharing.turn({}, m_now);
         // Hash tables give another order in each process; which datagrams are lost must not depend on it.
-        std::ranges::stable_sort(datagrams, {}, &OutgoingLoad::address);
+        std::ranges::stable_sort(datagrams, {}, &OutgoingDatagram::address);
         for (auto const& outgoing : datagrams) {
             ++m_sent;
             m_bytes += outgoing.bytes->size();
@@ -171,7 +171,7 @@
     struct UnderWay {
         Core::MonotonicTime at;
         std::string from;
-        OutgoingLoad outgoing;
+        OutgoingDatagram outgoing;
     };
 
     std::size_t m_count;
--- a/Tests/LibGateway/StarvedFleet.h
+++ b/Tests/LibGateway/StarvedFleet.h
@@ -53,7 +53,7 @@
         m_inbox.push_back({std::move(from), std::move(bytes), now});
     }
 
-    std::vector<OutgoingLoad> run(Core::MonotonicTime now)
+    std::vector<OutgoingDatagram> run(Core::MonotonicTime now)
     {
         LoadSharing::Datagram datagram;
         for (auto const& waiting : std::exchange(m_inbox, {})) {
