--- a/Libraries/LibGateway/LoadSharing.cpp
+++ b/Libraries/LibGateway/LoadSharing.cpp
@@ -158,7 +158,7 @@
     if (datagram.has_report())
         take_report(datagram.report(), from, now, waited);
     if (datagram.relayed_size() > 0)
-        m_election.note_heard(from, now);
+        m_election.note_relay_datagram(from, now);
     for (auto const& part : datagram.relayed())
         take_relayed(part, now, waited);
     return true;
@@ -333,7 +333,7 @@
     for (auto const gateway : m_aggregator.remove_silent(now))
         m_reporters.forget(gateway);
     std::vector<OutgoingDatagram> outgoing;
-    auto const relay = m_election.choose(now);
+    auto const relay = m_election.choose_relay(now);
     m_relay = relay.value_or(std::string());
     bool const relays_itself = relay && !m_election.is_member(*relay);
     if (relays_itself)
@@ -456,7 +456,7 @@
     Datagram to_relays;
     *to_relays.add_relayed() = part;
     auto const bytes = to_bytes(to_relays);
-    for (auto& address : m_election.fellow_relays(now))
+    for (auto& address : m_election.peer_relays(now))
         outgoing.push_back({std::move(address), bytes});
 
     if (std::exchange(m_has_newcomer, false)) {
--- a/Meta/deliberate-breaks.sh
+++ b/Meta/deliberate-breaks.sh
@@ -46,7 +46,7 @@
     '32|Libraries/LibGateway/PlacementPolicy.cpp|s/? s_hopeless_wait : 0;/? 0 * s_hopeless_wait : 0;/|PauseRulesTest|*DoNotAllWait*'
     '33|Libraries/LibEntry/WatchElection.cpp|s/return now >= doubt_begins();/return now < doubt_begins() \&\& false;/|WatchersTest|*AllOfThemDie*'
     '34|Libraries/LibEntry/WatchElection.cpp|s/bool const is_behind = behind_ends_at \&\& now/bool const is_behind = behind_ends_at \&\& false \&\& now/|WatchElectionTest|*DoesNotCome*'
-    '35|Libraries/LibGateway/RelayElection.cpp|s/if (has_paused(m_last_told, now))/if (has_paused(m_last_told, now) \&\& false)/|LoadSharingTest|*ReplacesADeadRelay*'
+    '35|Libraries/LibGateway/RelayElection.cpp|s/if (has_paused(m_last_peer_selection, now))/if (has_paused(m_last_peer_selection, now) \&\& false)/|LoadSharingTest|*ReplacesADeadRelay*'
     '37|Libraries/LibGateway/GatewayRun.h|s/most_connects {64};/most_connects {4};/|AttemptRulesTest|*AQuarterOfThemDied*'
     '38|Libraries/LibPolicy/FleetRetryBudget.h|s/if (earned() >= 1)/if (earned() >= 1 \&\& slice.spent == 0)/|GatewayPropertiesTest|*AWindowEarned*'
     '39|Libraries/LibGateway/FailureDetector.cpp|s/if (breaks.size() < s_min_breaks)/if (breaks.size() < 100 * s_min_breaks)/|LoadSharingTest|*StreamsBreakTogether*'
--- a/Tests/LibGateway/LoadSharingTest.cpp
+++ b/Tests/LibGateway/LoadSharingTest.cpp
@@ -22,9 +22,9 @@
     RelayElection election(begun);
     election.set_members({{"10.0.0.1:1", "here", 90, 1}, {}});
     auto now = begun + 2'200ms;
-    for (auto const end = now + RelayElection::s_acquaintance; now < end; now += 100ms)
-        EXPECT_FALSE(election.choose(now));
-    EXPECT_EQ(election.choose(now), "10.0.0.1:1");
+    for (auto const end = now + RelayElection::s_join_delay; now < end; now += 100ms)
+        EXPECT_FALSE(election.choose_relay(now));
+    EXPECT_EQ(election.choose_relay(now), "10.0.0.1:1");
 }
 
 TEST(RelayElection, JoinsUntilItHearsAMemberOrKnowsThatItWould)
@@ -38,12 +38,12 @@
     RelayElection unanswered(begun);
     unanswered.set_members({self, {other}});
     auto now = begun;
-    for (; now < begun + RelayElection::s_acquaintance; now += 100ms) {
-        static_cast<void>(unanswered.choose(now));
+    for (; now < begun + RelayElection::s_join_delay; now += 100ms) {
+        static_cast<void>(unanswered.choose_relay(now));
         EXPECT_TRUE(unanswered.is_joining(now));
     }
     EXPECT_FALSE(unanswered.is_joining(now));
-    election.note_heard(other.address, begun);
+    election.note_relay_datagram(other.address, begun);
     EXPECT_FALSE(election.is_joining(begun));
 }
 
@@ -103,7 +103,7 @@
     play(1s);
     EXPECT_EQ(count_relays(), s_groups);
     node(1).is_alive = true;
-    play(RelayElection::s_first_suspicion * 4);
+    play(RelayElection::s_initial_suspicion * 4);
     EXPECT_EQ(count_relays(), s_groups);
     EXPECT_TRUE(node(1).sharing.is_relay());
     view(node(4), "i-2").begin_attempt({1, 0, 0});
