--- a/Libraries/LibGateway/LoadExchange.cpp
+++ b/Libraries/LibGateway/LoadExchange.cpp
@@ -83,7 +83,7 @@
     m_duty.note_report(m_sharing.take_store_report(), now);
     m_sharing.set_store_report(m_duty.report(now));
     auto const own_clock = std::chrono::floor<Core::Milliseconds>(std::chrono::system_clock::now());
-    for (auto const& outgoing : m_sharing.turn(own_clock, now))
+    for (auto const& outgoing : m_sharing.tick(own_clock, now))
         send(outgoing);
     tell_relay();
 }
@@ -143,7 +143,7 @@
 void LoadExchange::take(ReceivedDatagram const& received)
 {
     bool const is_taken = m_datagram.ParseFromArray(received.bytes.data(), static_cast<int>(received.bytes.size()))
-        && m_sharing.take(m_datagram, received.sender, Core::monotonic_now(), received.waited);
+        && m_sharing.receive(m_datagram, received.sender, Core::monotonic_now(), received.waited);
     if (!is_taken)
         m_rejected.add();
 }
--- a/Libraries/LibGateway/LoadSharing.cpp
+++ b/Libraries/LibGateway/LoadSharing.cpp
@@ -11,12 +11,12 @@
 namespace {
 
 /// Own reports that are remembered, to be taken out of sums that hold them: three seconds' worth.
-constexpr std::size_t s_reports_remembered = 60;
+constexpr std::size_t s_max_own_reports = 60;
 /// Parts of a prompt that a placement names; longer beginnings are shared by few.
-constexpr int s_most_parts = 64;
-constexpr auto s_turns_of_a_refresh = static_cast<std::size_t>(LoadSharing::s_refresh / LoadSharing::s_interval);
+constexpr int s_max_parts = 64;
+constexpr auto s_ticks_per_refresh = static_cast<std::size_t>(LoadSharing::s_refresh / LoadSharing::s_interval);
 
-void add_load(granitefield::protocol::ServerLoad& message, std::uint64_t server, ServerLoad const& load)
+void write_load(granitefield::protocol::ServerLoad& message, std::uint64_t server, ServerLoad const& load)
 {
     message.set_server(server);
     message.set_open(load.open);
@@ -24,7 +24,7 @@
     message.set_pause_sensitive(load.pause_sensitive);
 }
 
-LoadsByServer loads_of(google::protobuf::RepeatedPtrField<granitefield::protocol::ServerLoad> const& messages)
+LoadsByServer read_loads(google::protobuf::RepeatedPtrField<granitefield::protocol::ServerLoad> const& messages)
 {
     LoadsByServer loads;
     loads.reserve(static_cast<std::size_t>(messages.size()));
@@ -39,7 +39,7 @@
 }
 
 /// The difference, and nothing where there is less: what is subtracted may be older.
-ServerLoad without(ServerLoad const& load, ServerLoad const& part)
+ServerLoad difference(ServerLoad const& load, ServerLoad const& part)
 {
     return {load.open - std::min(load.open, part.open),
         load.unread_tokens - std::min(load.unread_tokens, part.unread_tokens),
@@ -47,16 +47,17 @@
 }
 
 /// Older signs of a watch are left out: by then everybody has stepped in long ago.
-constexpr Core::Milliseconds s_oldest_sign {60'000};
+constexpr Core::Milliseconds s_max_report_age {60'000};
 
 std::optional<std::uint32_t> age_of(std::optional<Core::MonotonicTime> time, Core::MonotonicTime now)
 {
-    if (!time || Core::elapsed(*time, now) > s_oldest_sign)
+    if (!time || Core::elapsed(*time, now) > s_max_report_age)
         return std::nullopt;
     return static_cast<std::uint32_t>(std::max<std::int64_t>(0, Core::elapsed(*time, now).count()));
 }
 
-void write_report(granitefield::protocol::StoreWord& message, Entry::StoreReport const& report, Core::MonotonicTime now)
+void write_store_report(
+    granitefield::protocol::StoreWord& message, Entry::StoreReport const& report, Core::MonotonicTime now)
 {
     if (auto const age = age_of(report.elected, now))
         message.set_elected_age_ms(*age);
@@ -67,7 +68,7 @@
     message.set_drains_version(report.versions.drains.value());
 }
 
-Entry::StoreReport read_report(granitefield::protocol::StoreWord const& message, Core::MonotonicTime arrived)
+Entry::StoreReport read_store_report(granitefield::protocol::StoreWord const& message, Core::MonotonicTime arrived)
 {
     Entry::StoreReport report;
     if (message.has_elected_age_ms())
@@ -79,7 +80,7 @@
     return report;
 }
 
-std::shared_ptr<std::string const> to_bytes(LoadSharing::Datagram& datagram)
+std::shared_ptr<std::string const> serialize(LoadSharing::Datagram& datagram)
 {
     datagram.set_protocol_version(Protocol::s_protocol_version);
     return std::make_shared<std::string const>(datagram.SerializeAsString());
@@ -88,32 +89,32 @@
 }
 
 LoadSharing::LoadSharing(
-    std::uint64_t self, BackendFleet& fleet, CrashSharing crashes, DutySharing* duties, Core::MonotonicTime begun)
+    std::uint64_t self, BackendFleet& fleet, CrashSharing crashes, DutySharing* duties, Core::MonotonicTime started)
     : m_self(self)
     , m_fleet(fleet)
     , m_crashes(crashes)
     , m_signals(fleet)
     , m_duties(duties)
-    , m_election(begun)
-    , m_reporters(fleet)
-    , m_relays(fleet)
+    , m_election(started)
+    , m_reporter_loads(fleet)
+    , m_relay_loads(fleet)
 {
 }
 
 void LoadSharing::set_members(Entry::LoadMembers const& members)
 {
     m_election.set_members(members);
-    m_other_gateways = members.others.size();
+    m_peer_count = members.others.size();
 }
 
 void LoadSharing::note_placement(BackendView const& server, std::span<PromptPart const> parts, std::uint32_t own_tokens)
 {
-    if (parts.empty() || m_placements.size() >= s_most_placements)
+    if (parts.empty() || m_placements.size() >= s_max_placements)
         return;
     Placement placement;
     placement.set_server(server.id());
     placement.set_own_tokens(own_tokens);
-    for (auto const& part : parts.first(std::min<std::size_t>(parts.size(), s_most_parts))) {
+    for (auto const& part : parts.first(std::min<std::size_t>(parts.size(), s_max_parts))) {
         placement.add_chains(part.chain);
         placement.add_tokens(part.tokens);
     }
@@ -122,80 +123,80 @@
 
 bool LoadSharing::is_within_bounds(Datagram const& datagram)
 {
-    auto const are_sound = [](auto const& placements) {
-        return placements.size() <= static_cast<int>(s_most_placements)
+    auto const are_valid = [](auto const& placements) {
+        return placements.size() <= static_cast<int>(s_max_placements)
             && std::ranges::all_of(placements, [](auto const& placement) {
-                   return placement.chains_size() == placement.tokens_size() && placement.chains_size() <= s_most_parts;
+                   return placement.chains_size() == placement.tokens_size() && placement.chains_size() <= s_max_parts;
                });
     };
     auto const& report = datagram.report();
-    bool const is_report_sound = report.servers_size() <= static_cast<int>(s_most_servers)
-        && are_sound(report.placements()) && are_sound(report.placements_before());
-    auto const most_suspected = static_cast<int>(s_most_suspected);
-    bool const are_reported_sound = report.unreachable_size() <= most_suspected
-        && report.broken_size() <= most_suspected && report.answering_size() <= most_suspected;
-    bool const are_counts_sound = DutySharing::is_within_bounds(report)
+    bool const is_report_valid = report.servers_size() <= static_cast<int>(s_max_servers)
+        && are_valid(report.placements()) && are_valid(report.placements_before());
+    auto const max_suspected = static_cast<int>(s_max_suspected);
+    bool const are_server_states_valid = report.unreachable_size() <= max_suspected
+        && report.broken_size() <= max_suspected && report.answering_size() <= max_suspected;
+    bool const are_shared_parts_valid = DutySharing::is_within_bounds(report)
         && CrashSharing::is_within_bounds(report.crashes()) && SignalSharing::is_within_bounds(report.signals())
         && std::ranges::all_of(datagram.relayed(), [](auto const& part) {
                return DutySharing::is_within_bounds(part) && CrashSharing::is_within_bounds(part.crashes())
                    && SignalSharing::is_within_bounds(part.signals());
            });
-    return is_report_sound && are_reported_sound && are_counts_sound
-        && datagram.relayed_size() <= static_cast<int>(s_most_forwarded) + 1
+    return is_report_valid && are_server_states_valid && are_shared_parts_valid
+        && datagram.relayed_size() <= static_cast<int>(s_max_forwarded) + 1
         && std::ranges::all_of(datagram.relayed(), [&](auto const& part) {
-               return part.servers_size() <= static_cast<int>(s_most_servers) && are_sound(part.placements())
-                   && part.suspected_size() <= most_suspected && part.answering_size() <= most_suspected;
+               return part.servers_size() <= static_cast<int>(s_max_servers) && are_valid(part.placements())
+                   && part.suspected_size() <= max_suspected && part.answering_size() <= max_suspected;
            });
 }
 
-bool LoadSharing::take(
+bool LoadSharing::receive(
     Datagram const& datagram, std::string const& from, Core::MonotonicTime now, Core::Milliseconds waited)
 {
-    bool const is_believed = datagram.protocol_version() == Protocol::s_protocol_version && m_election.is_member(from)
+    bool const is_accepted = datagram.protocol_version() == Protocol::s_protocol_version && m_election.is_member(from)
         && is_within_bounds(datagram);
-    if (!is_believed)
+    if (!is_accepted)
         return false;
     if (datagram.has_report())
-        take_report(datagram.report(), from, now, waited);
+        receive_report(datagram.report(), from, now, waited);
     if (datagram.relayed_size() > 0)
         m_election.note_relay_datagram(from, now);
     for (auto const& part : datagram.relayed())
-        take_relayed(part, now, waited);
+        receive_relayed(part, now, waited);
     return true;
 }
 
-void LoadSharing::take_report(granitefield::protocol::GatewayLoad const& report, std::string const& from,
+void LoadSharing::receive_report(granitefield::protocol::GatewayLoad const& report, std::string const& from,
     Core::MonotonicTime now, Core::Milliseconds waited)
 {
     if (report.sender() == m_self)
         return;
-    m_received_store_report.merge(read_report(report.store(), now - waited));
+    m_received_store_report.merge(read_store_report(report.store(), now - waited));
     if (m_duties != nullptr)
         m_duties->take_report(report, now);
     m_crashes.take(report.crashes(), Policy::CrashLedger::Relaying::Yes, now);
     m_signals.take(report.signals(), Policy::Relaying::Yes, now);
-    m_has_newcomer = m_has_newcomer || m_aggregator.last_sequence_of(report.sender()) == 0;
-    bool const has_missed_one = m_aggregator.last_sequence_of(report.sender()) + 1 < report.sequence();
-    auto loads = loads_of(report.servers());
-    m_reporters.take(report.sender(), report.sequence(), LoadSources::Extent::Whole, loads, now);
+    m_has_new_reporter = m_has_new_reporter || m_aggregator.last_sequence_of(report.sender()) == 0;
+    bool const has_gap = m_aggregator.last_sequence_of(report.sender()) + 1 < report.sequence();
+    auto loads = read_loads(report.servers());
+    m_reporter_loads.take(report.sender(), report.sequence(), LoadSources::Extent::Whole, loads, now);
     if (!m_aggregator.update(report.sender(), {report.sequence(), now, from, std::move(loads)}))
         return;
     collect_suspicions(span_of(report.unreachable()), span_of(report.broken()), span_of(report.answering()), now);
-    if (has_missed_one)
+    if (has_gap)
         relay_placements(report.placements_before());
     relay_placements(report.placements());
 }
 
 void LoadSharing::relay_placements(google::protobuf::RepeatedPtrField<Placement> const& placements)
 {
-    believe_placements(placements);
+    apply_placements(placements);
     for (auto const& placement : placements) {
-        if (m_relay_placements.size() < s_most_placements)
+        if (m_relay_placements.size() < s_max_placements)
             m_relay_placements.push_back(placement);
     }
 }
 
-void LoadSharing::believe_placements(google::protobuf::RepeatedPtrField<Placement> const& placements)
+void LoadSharing::apply_placements(google::protobuf::RepeatedPtrField<Placement> const& placements)
 {
     std::vector<PromptPart> parts;
     for (auto const& placement : placements) {
@@ -209,28 +210,29 @@
     }
 }
 
-void LoadSharing::take_relayed(RelayedLoad const& part, Core::MonotonicTime now, Core::Milliseconds waited)
+void LoadSharing::receive_relayed(RelayedLoad const& part, Core::MonotonicTime now, Core::Milliseconds waited)
 {
     if (part.relay() == m_self)
         return;
-    m_received_store_report.merge(read_report(part.store(), now - waited));
+    m_received_store_report.merge(read_store_report(part.store(), now - waited));
     if (m_duties != nullptr)
-        m_duties->take_part(part, counts_own(part) ? DutySharing::Sender::OwnRelay : DutySharing::Sender::Other, now);
+        m_duties->take_part(
+            part, is_from_own_relay(part) ? DutySharing::Sender::OwnRelay : DutySharing::Sender::Other, now);
     m_crashes.take(part.crashes(), Policy::CrashLedger::Relaying::No, now);
     m_signals.take(part.signals(), Policy::Relaying::No, now);
-    auto loads = loads_of(part.servers());
-    subtract_own(part, loads);
-    if (!m_relays.take(part.relay(), part.sequence(), LoadSources::Extent::Changes, loads, now))
+    auto loads = read_loads(part.servers());
+    subtract_own_load(part, loads);
+    if (!m_relay_loads.take(part.relay(), part.sequence(), LoadSources::Extent::Changes, loads, now))
         return;
-    believe_placements(part.placements());
-    believe_suspicions(part, now);
-    if (m_aggregator.reports().empty() || m_forwarded.size() >= s_most_forwarded)
+    apply_placements(part.placements());
+    apply_suspicions(part, now);
+    if (m_aggregator.reports().empty() || m_forwarded.size() >= s_max_forwarded)
         return;
     m_forwarded.push_back(part);
     m_forwarded.back().clear_counted();
 }
 
-void LoadSharing::subtract_own(RelayedLoad const& part, LoadsByServer& loads) const
+void LoadSharing::subtract_own_load(RelayedLoad const& part, LoadsByServer& loads) const
 {
     auto const counted
         = std::ranges::find_if(part.counted(), [this](auto const& report) { return report.gateway() == m_self; });
@@ -242,17 +244,17 @@
     for (auto& [server, load] : loads) {
         auto const found = own->loads.find(server);
         if (found != own->loads.end())
-            load = without(load, found->second);
+            load = difference(load, found->second);
     }
 }
 
-void LoadSharing::suspect(std::uint64_t server, Core::MonotonicTime now)
+void LoadSharing::mark_suspected(std::uint64_t server, Core::MonotonicTime now)
 {
     if (auto const view = m_fleet.find(server))
-        view->note_suspected(m_other_gateways + 1, now);
+        view->note_suspected(m_peer_count + 1, now);
 }
 
-void LoadSharing::trust(std::uint64_t server)
+void LoadSharing::mark_alive(std::uint64_t server)
 {
     if (auto const view = m_fleet.find(server))
         static_cast<void>(view->note_alive());
@@ -261,41 +263,41 @@
 void LoadSharing::collect_suspicions(std::span<std::uint64_t const> unreachable, std::span<std::uint64_t const> broken,
     std::span<std::uint64_t const> answering, Core::MonotonicTime now)
 {
-    std::vector<std::uint64_t> dead(unreachable.begin(), unreachable.end());
+    std::vector<std::uint64_t> dead_servers(unreachable.begin(), unreachable.end());
     for (auto const server : broken) {
         if (m_failure_detector.note_broken_answer(server, now))
-            dead.push_back(server);
+            dead_servers.push_back(server);
     }
-    for (auto const server : dead) {
-        suspect(server, now);
-        if (m_suspected_to_tell.size() < s_most_suspected)
-            m_suspected_to_tell.insert(server);
+    for (auto const server : dead_servers) {
+        mark_suspected(server, now);
+        if (m_suspected_to_send.size() < s_max_suspected)
+            m_suspected_to_send.insert(server);
     }
     for (auto const server : answering) {
-        trust(server);
-        m_suspected_to_tell.erase(server);
-        if (m_answering_to_tell.size() < s_most_suspected)
-            m_answering_to_tell.insert(server);
+        mark_alive(server);
+        m_suspected_to_send.erase(server);
+        if (m_answering_to_send.size() < s_max_suspected)
+            m_answering_to_send.insert(server);
     }
 }
 
-bool LoadSharing::counts_own(RelayedLoad const& part) const
+bool LoadSharing::is_from_own_relay(RelayedLoad const& part) const
 {
     return std::ranges::any_of(part.counted(), [this](auto const& report) { return report.gateway() == m_self; });
 }
 
-void LoadSharing::believe_suspicions(RelayedLoad const& part, Core::MonotonicTime now)
+void LoadSharing::apply_suspicions(RelayedLoad const& part, Core::MonotonicTime now)
 {
-    bool const is_own_domain = counts_own(part);
+    bool const is_from_own_domain = is_from_own_relay(part);
     for (auto const server : part.suspected()) {
-        if (is_own_domain || m_failure_detector.note_remote_suspicion(server, part.relay(), now))
-            suspect(server, now);
+        if (is_from_own_domain || m_failure_detector.note_remote_suspicion(server, part.relay(), now))
+            mark_suspected(server, now);
     }
     // A server that answers elsewhere may still be out of reach from here.
-    if (!is_own_domain)
+    if (!is_from_own_domain)
         return;
     for (auto const server : part.answering())
-        trust(server);
+        mark_alive(server);
 }
 
 LoadsByServer LoadSharing::own_loads() const
@@ -308,10 +310,10 @@
     return loads;
 }
 
-std::uint64_t LoadSharing::begin_report(LoadsByServer loads)
+std::uint64_t LoadSharing::record_own_report(LoadsByServer loads)
 {
     m_own_reports.push_back({++m_report_sequence, std::move(loads)});
-    if (m_own_reports.size() > s_reports_remembered)
+    if (m_own_reports.size() > s_max_own_reports)
         m_own_reports.pop_front();
     return m_report_sequence;
 }
@@ -324,23 +326,23 @@
     return is_needed ? s_heartbeat : m_election.interval();
 }
 
-std::vector<OutgoingDatagram> LoadSharing::turn(Cluster::WallTime own_clock, Core::MonotonicTime now)
+std::vector<OutgoingDatagram> LoadSharing::tick(Cluster::WallTime own_clock, Core::MonotonicTime now)
 {
     if (m_duties != nullptr)
         m_duties->duty().turn(own_clock, now);
     m_failure_detector.remove_expired(now);
-    m_relays.forget_silent(now, s_relay_memory, s_entry_memory);
+    m_relay_loads.forget_silent(now, s_relay_expiry, s_entry_expiry);
     for (auto const gateway : m_aggregator.remove_silent(now))
-        m_reporters.forget(gateway);
+        m_reporter_loads.forget(gateway);
     std::vector<OutgoingDatagram> outgoing;
     auto const relay = m_election.choose_relay(now);
     m_relay = relay.value_or(std::string());
-    bool const relays_itself = relay && !m_election.is_member(*relay);
-    if (relays_itself)
-        count_own(now);
+    bool const is_relay_itself = relay && !m_election.is_member(*relay);
+    if (is_relay_itself)
+        add_own_report(now);
     else if (relay)
-        report_to(*relay, outgoing, own_clock, now);
-    m_is_relay = relays_itself || !m_aggregator.reports().empty();
+        send_report(*relay, outgoing, own_clock, now);
+    m_is_relay = is_relay_itself || !m_aggregator.reports().empty();
     if (m_is_relay)
         send_as_relay(outgoing, now);
     m_is_busy = !m_own_reports.empty() && !m_own_reports.back().loads.empty();
@@ -348,118 +350,118 @@
     return outgoing;
 }
 
-void LoadSharing::report_to(std::string const& relay, std::vector<OutgoingDatagram>& outgoing,
+void LoadSharing::send_report(std::string const& relay, std::vector<OutgoingDatagram>& outgoing,
     Cluster::WallTime own_clock, Core::MonotonicTime now)
 {
     auto loads = own_loads();
     bool const has_changed = m_own_reports.empty() || loads != m_own_reports.back().loads;
-    bool const has_placements = !m_placements.empty() || !m_placements_before.empty();
-    bool const has_findings
-        = !m_unreachable.empty() || !m_broken.empty() || !m_answering.empty() || has_shared_news(now);
-    if (!has_changed && !has_placements && !has_findings && Core::elapsed(m_reported, now) < s_heartbeat)
+    bool const has_placements = !m_placements.empty() || !m_previous_placements.empty();
+    bool const has_pending_reports
+        = !m_unreachable.empty() || !m_broken.empty() || !m_answering.empty() || has_urgent_reports(now);
+    if (!has_changed && !has_placements && !has_pending_reports && Core::elapsed(m_last_report, now) < s_heartbeat)
         return;
-    m_reported = now;
+    m_last_report = now;
     Datagram datagram;
     auto& report = *datagram.mutable_report();
     report.set_sender(m_self);
-    write_report(*report.mutable_store(), m_store_report, now);
+    write_store_report(*report.mutable_store(), m_store_report, now);
     if (m_duties != nullptr)
         m_duties->fill_report(report, own_clock, now);
     m_crashes.fill(*report.mutable_crashes(), now);
     m_signals.fill(*report.mutable_signals(), now);
     for (auto const& [server, load] : loads) {
-        if (report.servers_size() < static_cast<int>(s_most_servers))
-            add_load(*report.add_servers(), server, load);
+        if (report.servers_size() < static_cast<int>(s_max_servers))
+            write_load(*report.add_servers(), server, load);
     }
-    report.set_sequence(begin_report(std::move(loads)));
+    report.set_sequence(record_own_report(std::move(loads)));
     report.mutable_placements()->Assign(m_placements.begin(), m_placements.end());
-    report.mutable_placements_before()->Assign(m_placements_before.begin(), m_placements_before.end());
-    m_placements_before = std::exchange(m_placements, {});
+    report.mutable_placements_before()->Assign(m_previous_placements.begin(), m_previous_placements.end());
+    m_previous_placements = std::exchange(m_placements, {});
     auto const move_to = [](auto& target, std::vector<std::uint64_t>& servers) {
-        servers.resize(std::min(servers.size(), s_most_suspected));
+        servers.resize(std::min(servers.size(), s_max_suspected));
         target.Assign(servers.begin(), servers.end());
         servers.clear();
     };
     move_to(*report.mutable_unreachable(), m_unreachable);
     move_to(*report.mutable_broken(), m_broken);
     move_to(*report.mutable_answering(), m_answering);
-    outgoing.push_back({relay, to_bytes(datagram)});
+    outgoing.push_back({relay, serialize(datagram)});
 }
 
-void LoadSharing::count_own(Core::MonotonicTime now)
+void LoadSharing::add_own_report(Core::MonotonicTime now)
 {
     auto loads = own_loads();
-    auto const sequence = begin_report(loads);
+    auto const sequence = record_own_report(loads);
     m_aggregator.update(m_self, {sequence, now, "", std::move(loads)});
     std::ranges::move(m_placements, std::back_inserter(m_relay_placements));
-    m_relay_placements.resize(std::min(m_relay_placements.size(), s_most_placements));
+    m_relay_placements.resize(std::min(m_relay_placements.size(), s_max_placements));
     m_placements.clear();
     collect_suspicions(
         std::exchange(m_unreachable, {}), std::exchange(m_broken, {}), std::exchange(m_answering, {}), now);
 }
 
-void LoadSharing::add_refreshed(LoadsByServer& loads, Core::MonotonicTime now)
+void LoadSharing::add_refresh(LoadsByServer& loads, Core::MonotonicTime now)
 {
-    if (Core::elapsed(m_refreshed, now) >= s_refresh) {
-        m_refreshed = now;
-        m_to_refresh.clear();
+    if (Core::elapsed(m_last_refresh, now) >= s_refresh) {
+        m_last_refresh = now;
+        m_servers_to_refresh.clear();
         for (auto const& [server, sum] : m_aggregator.sums())
-            m_to_refresh.push_back(server);
-        m_refresh_step = m_to_refresh.size() / s_turns_of_a_refresh + 1;
+            m_servers_to_refresh.push_back(server);
+        m_servers_per_tick = m_servers_to_refresh.size() / s_ticks_per_refresh + 1;
     }
-    for (std::size_t count = 0; count < m_refresh_step && !m_to_refresh.empty(); ++count) {
-        auto const sum = m_aggregator.sums().find(m_to_refresh.back());
-        m_to_refresh.pop_back();
+    for (std::size_t count = 0; count < m_servers_per_tick && !m_servers_to_refresh.empty(); ++count) {
+        auto const sum = m_aggregator.sums().find(m_servers_to_refresh.back());
+        m_servers_to_refresh.pop_back();
         if (sum != m_aggregator.sums().end())
             loads.insert(*sum);
     }
 }
 
-LoadSharing::RelayedLoad LoadSharing::make_part(Core::MonotonicTime now)
+LoadSharing::RelayedLoad LoadSharing::make_relayed_load(Core::MonotonicTime now)
 {
     auto loads = m_aggregator.take_changes();
-    for (auto const& item : std::exchange(m_left_over, {}))
+    for (auto const& item : std::exchange(m_deferred_loads, {}))
         loads.insert(item);
-    add_refreshed(loads, now);
+    add_refresh(loads, now);
     RelayedLoad part;
     part.set_relay(m_self);
     part.set_sequence(++m_relay_sequence);
-    write_report(*part.mutable_store(), m_store_report, now);
+    write_store_report(*part.mutable_store(), m_store_report, now);
     if (m_duties != nullptr)
         m_duties->fill_part(part, now);
     m_crashes.fill(*part.mutable_crashes(), now);
     m_signals.fill(*part.mutable_signals(), now);
     for (auto const& [server, load] : loads) {
-        if (part.servers_size() < static_cast<int>(s_most_servers))
-            add_load(*part.add_servers(), server, load);
+        if (part.servers_size() < static_cast<int>(s_max_servers))
+            write_load(*part.add_servers(), server, load);
         else
-            m_left_over[server] = load;
+            m_deferred_loads[server] = load;
     }
     auto const placements = std::exchange(m_relay_placements, {});
     part.mutable_placements()->Assign(placements.begin(), placements.end());
-    part.mutable_suspected()->Assign(m_suspected_to_tell.begin(), m_suspected_to_tell.end());
-    part.mutable_answering()->Assign(m_answering_to_tell.begin(), m_answering_to_tell.end());
-    m_suspected_to_tell.clear();
-    m_answering_to_tell.clear();
+    part.mutable_suspected()->Assign(m_suspected_to_send.begin(), m_suspected_to_send.end());
+    part.mutable_answering()->Assign(m_answering_to_send.begin(), m_answering_to_send.end());
+    m_suspected_to_send.clear();
+    m_answering_to_send.clear();
     return part;
 }
 
 void LoadSharing::send_as_relay(std::vector<OutgoingDatagram>& outgoing, Core::MonotonicTime now)
 {
-    bool const is_due = Core::elapsed(m_relayed, now) >= s_heartbeat;
-    bool const has_news = m_aggregator.has_changes() || !m_relay_placements.empty() || !m_forwarded.empty()
-        || !m_suspected_to_tell.empty() || !m_answering_to_tell.empty() || has_shared_news(now);
-    if (!is_due && !has_news)
+    bool const is_due = Core::elapsed(m_last_relay_datagram, now) >= s_heartbeat;
+    bool const has_new_data = m_aggregator.has_changes() || !m_relay_placements.empty() || !m_forwarded.empty()
+        || !m_suspected_to_send.empty() || !m_answering_to_send.empty() || has_urgent_reports(now);
+    if (!is_due && !has_new_data)
         return;
-    m_relayed = now;
-    auto part = make_part(now);
+    m_last_relay_datagram = now;
+    auto part = make_relayed_load(now);
     Datagram to_relays;
     *to_relays.add_relayed() = part;
-    auto const bytes = to_bytes(to_relays);
+    auto const bytes = serialize(to_relays);
     for (auto& address : m_election.peer_relays(now))
         outgoing.push_back({std::move(address), bytes});
 
-    if (std::exchange(m_has_newcomer, false)) {
+    if (std::exchange(m_has_new_reporter, false)) {
         if (m_duties != nullptr)
             m_duties->fill_everything(part);
         m_signals.fill_everything(*part.mutable_signals(), now);
@@ -473,7 +475,7 @@
     *to_reporters.add_relayed() = std::move(part);
     for (auto& forwarded : std::exchange(m_forwarded, {}))
         *to_reporters.add_relayed() = std::move(forwarded);
-    auto const reporters_bytes = to_bytes(to_reporters);
+    auto const reporters_bytes = serialize(to_reporters);
     for (auto const& [gateway, report] : m_aggregator.reports()) {
         if (!report.address.empty())
             outgoing.push_back({report.address, reporters_bytes});
--- a/Libraries/LibGateway/LoadSharing.h
+++ b/Libraries/LibGateway/LoadSharing.h
@@ -52,15 +52,15 @@
     /// How often a relay names each server of which it knows anything. A lost datagram is made good by then.
     static constexpr Core::Milliseconds s_refresh {1'000};
     /// What a relay said is forgotten when it has been silent for this long: several heartbeats.
-    static constexpr Core::Milliseconds s_relay_memory {600};
+    static constexpr Core::Milliseconds s_relay_expiry {600};
     /// What it said of a server is forgotten when it was not named for this long: it misses two refreshes.
-    static constexpr Core::Milliseconds s_entry_memory {2'500};
+    static constexpr Core::Milliseconds s_entry_expiry {2'500};
     /// Bounds on what one datagram holds; its size stays below the 64 KB that one can have.
-    static constexpr std::size_t s_most_servers = 1'500;
-    static constexpr std::size_t s_most_placements = 200;
-    static constexpr std::size_t s_most_forwarded = 32;
+    static constexpr std::size_t s_max_servers = 1'500;
+    static constexpr std::size_t s_max_placements = 200;
+    static constexpr std::size_t s_max_forwarded = 32;
     /// Most servers that one report lists as dead, or as answering again.
-    static constexpr std::size_t s_most_suspected = 1'000;
+    static constexpr std::size_t s_max_suspected = 1'000;
 
     enum class WatchesStore {
         No,
@@ -68,7 +68,7 @@
     };
 
     /// `self` is the gateway's incarnation. What is shared for duties is null where gateways have none.
-    LoadSharing(std::uint64_t self, BackendFleet&, CrashSharing, DutySharing* duties, Core::MonotonicTime begun);
+    LoadSharing(std::uint64_t self, BackendFleet&, CrashSharing, DutySharing* duties, Core::MonotonicTime started);
 
     void set_members(Entry::LoadMembers const&);
 
@@ -82,7 +82,7 @@
 
     /// Takes a datagram from that address, which arrived `waited` before it was read. Returns whether it was accepted:
     /// its sender must be a member, and its sizes must be within the bounds.
-    bool take(Datagram const&, std::string const& from, Core::MonotonicTime now,
+    bool receive(Datagram const&, std::string const& from, Core::MonotonicTime now,
         Core::Milliseconds waited = Core::Milliseconds(0));
 
     /// Sets the report about the platform's store that the next datagrams carry.
@@ -91,7 +91,7 @@
     [[nodiscard]] Entry::StoreReport take_store_report() { return std::exchange(m_received_store_report, {}); }
 
     /// What there is to send now; `own_clock` is this host's time of day.
-    [[nodiscard]] std::vector<OutgoingDatagram> turn(Cluster::WallTime own_clock, Core::MonotonicTime now);
+    [[nodiscard]] std::vector<OutgoingDatagram> tick(Cluster::WallTime own_clock, Core::MonotonicTime now);
 
     /// Time until the next call of turn(). A gateway that runs late calls it less often, unless others depend on its
     /// datagrams: those that report to it, or all if it watches the platform's store.
@@ -117,38 +117,38 @@
     };
 
     [[nodiscard]] static bool is_within_bounds(Datagram const&);
-    void take_report(granitefield::protocol::GatewayLoad const&, std::string const& from, Core::MonotonicTime now,
+    void receive_report(granitefield::protocol::GatewayLoad const&, std::string const& from, Core::MonotonicTime now,
         Core::Milliseconds waited);
-    void take_relayed(RelayedLoad const&, Core::MonotonicTime now, Core::Milliseconds waited);
-    void believe_placements(google::protobuf::RepeatedPtrField<Placement> const&);
+    void receive_relayed(RelayedLoad const&, Core::MonotonicTime now, Core::Milliseconds waited);
+    void apply_placements(google::protobuf::RepeatedPtrField<Placement> const&);
     void relay_placements(google::protobuf::RepeatedPtrField<Placement> const&);
     /// Takes this gateway's own part out of a sum that holds it.
-    void subtract_own(RelayedLoad const&, LoadsByServer&) const;
+    void subtract_own_load(RelayedLoad const&, LoadsByServer&) const;
 
     /// What the gateways of this relay's failure domain have met.
     void collect_suspicions(std::span<std::uint64_t const> unreachable, std::span<std::uint64_t const> broken,
         std::span<std::uint64_t const> answering, Core::MonotonicTime now);
     /// Whether the part comes from the relay that this gateway reports to.
-    [[nodiscard]] bool counts_own(RelayedLoad const&) const;
-    void believe_suspicions(RelayedLoad const&, Core::MonotonicTime now);
-    void suspect(std::uint64_t server, Core::MonotonicTime now);
-    void trust(std::uint64_t server);
+    [[nodiscard]] bool is_from_own_relay(RelayedLoad const&) const;
+    void apply_suspicions(RelayedLoad const&, Core::MonotonicTime now);
+    void mark_suspected(std::uint64_t server, Core::MonotonicTime now);
+    void mark_alive(std::uint64_t server);
 
     [[nodiscard]] LoadsByServer own_loads() const;
     /// Begins the next report of what is open here.
-    std::uint64_t begin_report(LoadsByServer);
+    std::uint64_t record_own_report(LoadsByServer);
     /// What goes with the next datagram and can't wait.
-    [[nodiscard]] bool has_shared_news(Core::MonotonicTime now) const
+    [[nodiscard]] bool has_urgent_reports(Core::MonotonicTime now) const
     {
-        return has_news_of_duties() || m_crashes.has_news(now) || m_signals.has_due_reports(now);
+        return has_duty_changes() || m_crashes.has_news(now) || m_signals.has_due_reports(now);
     }
-    [[nodiscard]] bool has_news_of_duties() const { return m_duties != nullptr && m_duties->has_changes(); }
-    void report_to(
+    [[nodiscard]] bool has_duty_changes() const { return m_duties != nullptr && m_duties->has_changes(); }
+    void send_report(
         std::string const& relay, std::vector<OutgoingDatagram>&, Cluster::WallTime own_clock, Core::MonotonicTime now);
-    void count_own(Core::MonotonicTime now);
+    void add_own_report(Core::MonotonicTime now);
     void send_as_relay(std::vector<OutgoingDatagram>&, Core::MonotonicTime now);
-    [[nodiscard]] RelayedLoad make_part(Core::MonotonicTime now);
-    void add_refreshed(LoadsByServer&, Core::MonotonicTime now);
+    [[nodiscard]] RelayedLoad make_relayed_load(Core::MonotonicTime now);
+    void add_refresh(LoadsByServer&, Core::MonotonicTime now);
 
     std::uint64_t m_self;
     BackendFleet& m_fleet;
@@ -156,11 +156,11 @@
     SignalSharing m_signals;
     DutySharing* m_duties;
     /// A gateway that was not known reports here.
-    bool m_has_newcomer {false};
+    bool m_has_new_reporter {false};
     RelayElection m_election;
     LoadAggregator m_aggregator;
-    LoadSources m_reporters;
-    LoadSources m_relays;
+    LoadSources m_reporter_loads;
+    LoadSources m_relay_loads;
     bool m_is_busy {false};
     bool m_is_relay {false};
     std::string m_relay;
@@ -169,28 +169,28 @@
 
     std::uint64_t m_report_sequence {0};
     std::deque<OwnReport> m_own_reports;
-    Core::MonotonicTime m_reported;
+    Core::MonotonicTime m_last_report;
     Placements m_placements;
-    Placements m_placements_before;
+    Placements m_previous_placements;
     std::vector<std::uint64_t> m_unreachable;
     std::vector<std::uint64_t> m_broken;
     std::vector<std::uint64_t> m_answering;
 
     std::uint64_t m_relay_sequence {0};
-    Core::MonotonicTime m_relayed;
+    Core::MonotonicTime m_last_relay_datagram;
     Placements m_relay_placements;
     std::vector<RelayedLoad> m_forwarded;
     FailureDetector m_failure_detector;
-    absl::flat_hash_set<std::uint64_t> m_suspected_to_tell;
-    absl::flat_hash_set<std::uint64_t> m_answering_to_tell;
+    absl::flat_hash_set<std::uint64_t> m_suspected_to_send;
+    absl::flat_hash_set<std::uint64_t> m_answering_to_send;
     /// Other gateways; they may all try a suspected server again.
-    std::size_t m_other_gateways {0};
+    std::size_t m_peer_count {0};
     /// Changed servers that did not fit in.
-    LoadsByServer m_left_over;
+    LoadsByServer m_deferred_loads;
     /// Servers that are still to be named in this refresh.
-    std::vector<std::uint64_t> m_to_refresh;
-    std::size_t m_refresh_step {0};
-    Core::MonotonicTime m_refreshed;
+    std::vector<std::uint64_t> m_servers_to_refresh;
+    std::size_t m_servers_per_tick {0};
+    Core::MonotonicTime m_last_refresh;
 };
 
 }
--- a/Tests/LibGateway/LoadFleet.h
+++ b/Tests/LibGateway/LoadFleet.h
@@ -118,7 +118,7 @@
             return;
         node.next_turn += LoadSharing::s_interval;
         node.crashes.turn(m_now);
-        auto datagrams = node.sharing.turn({}, m_now);
+        auto datagrams = node.sharing.tick({}, m_now);
         // Hash tables give another order in each process; which datagrams are lost must not depend on it.
         std::ranges::stable_sort(datagrams, {}, &OutgoingDatagram::address);
         for (auto const& outgoing : datagrams) {
@@ -141,7 +141,7 @@
             LoadSharing::Datagram datagram;
             ASSERT_TRUE(datagram.ParseFromString(*item.outgoing.bytes));
             if ((*target)->is_alive) {
-                EXPECT_TRUE((*target)->sharing.take(datagram, item.from, m_now));
+                EXPECT_TRUE((*target)->sharing.receive(datagram, item.from, m_now));
             }
         }
     }
--- a/Tests/LibGateway/LoadSharingTest.cpp
+++ b/Tests/LibGateway/LoadSharingTest.cpp
@@ -77,7 +77,7 @@
         play(10ms);
     }
     m_loss = 0;
-    play(LoadSharing::s_entry_memory + LoadSharing::s_refresh);
+    play(LoadSharing::s_entry_expiry + LoadSharing::s_refresh);
     for (auto const* instance : {"i-0", "i-1", "i-2", "i-3", "i-4", "i-5"})
         EXPECT_EQ(mistaken(instance), std::vector<std::string>()) << instance;
 }
@@ -211,21 +211,21 @@
     auto& load = *part.add_servers();
     load.set_server(view(node(5), "i-0").id());
     load.set_open(9);
-    EXPECT_FALSE(node(5).sharing.take(datagram, "10.9.9.9:1", m_now));
+    EXPECT_FALSE(node(5).sharing.receive(datagram, "10.9.9.9:1", m_now));
     EXPECT_EQ(view(node(5), "i-0").load().open, 0U);
     part.add_placements()->add_chains(1);
-    EXPECT_FALSE(node(5).sharing.take(datagram, node(2).address, m_now));
+    EXPECT_FALSE(node(5).sharing.receive(datagram, node(2).address, m_now));
     part.clear_placements();
-    EXPECT_TRUE(node(5).sharing.take(datagram, node(2).address, m_now));
+    EXPECT_TRUE(node(5).sharing.receive(datagram, node(2).address, m_now));
     EXPECT_EQ(view(node(5), "i-0").load().open, 9U);
     // An older word of the same relay changes nothing.
     load.set_open(4);
-    EXPECT_TRUE(node(5).sharing.take(datagram, node(2).address, m_now));
+    EXPECT_TRUE(node(5).sharing.receive(datagram, node(2).address, m_now));
     EXPECT_EQ(view(node(5), "i-0").load().open, 9U);
-    for (std::size_t count = 0; count <= LoadSharing::s_most_servers; ++count)
+    for (std::size_t count = 0; count <= LoadSharing::s_max_servers; ++count)
         part.add_servers()->set_server(count);
     part.set_sequence(2);
-    EXPECT_FALSE(node(5).sharing.take(datagram, node(2).address, m_now));
+    EXPECT_FALSE(node(5).sharing.receive(datagram, node(2).address, m_now));
 }
 
 RC_GTEST_PROP(LoadSharing, LeavesNothingBehindOfAnyDatagrams, ())
@@ -269,12 +269,12 @@
             bytes[*rc::gen::inRange<std::size_t>(0, bytes.size())] = *rc::gen::arbitrary<char>();
         LoadSharing::Datagram read;
         if (read.ParseFromString(bytes))
-            node.sharing.take(read, peer.address, now);
+            node.sharing.receive(read, peer.address, now);
         now += Core::Milliseconds(*rc::gen::inRange(0, 300));
-        static_cast<void>(node.sharing.turn({}, now));
+        static_cast<void>(node.sharing.tick({}, now));
     }
-    now += LoadSharing::s_entry_memory + LoadSharing::s_relay_memory;
-    static_cast<void>(node.sharing.turn({}, now));
+    now += LoadSharing::s_entry_expiry + LoadSharing::s_relay_expiry;
+    static_cast<void>(node.sharing.tick({}, now));
     for (auto const& [instance, view] : node.fleet.all())
         RC_ASSERT(view->load() == ServerLoad());
 }
--- a/Tests/LibGateway/StarvedFleet.h
+++ b/Tests/LibGateway/StarvedFleet.h
@@ -58,13 +58,13 @@
         LoadSharing::Datagram datagram;
         for (auto const& waiting : std::exchange(m_inbox, {})) {
             EXPECT_TRUE(datagram.ParseFromString(*waiting.bytes));
-            m_node.sharing.take(datagram, waiting.from, now, Core::elapsed(waiting.arrived, now));
+            m_node.sharing.receive(datagram, waiting.from, now, Core::elapsed(waiting.arrived, now));
         }
         m_election.note_tick(now);
         m_election.note_report(m_node.sharing.take_store_report(), now);
         watch_if_on_duty(now);
         m_node.sharing.set_store_report(m_election.report(now));
-        auto outgoing = m_node.sharing.turn({}, now);
+        auto outgoing = m_node.sharing.tick({}, now);
         m_relay_changes += std::exchange(m_relay, m_node.sharing.relay()) != m_node.sharing.relay() ? 1 : 0;
         return outgoing;
     }
