--- a/Libraries/LibGateway/LoadExchange.cpp
+++ b/Libraries/LibGateway/LoadExchange.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 /// Bounds the time for which other work of the gateway's thread waits.
-constexpr int s_most_read_at_once = 256;
+constexpr int s_max_datagrams_per_read = 256;
 
-std::string to_text(boost::asio::ip::udp::endpoint const& endpoint)
+std::string to_string(boost::asio::ip::udp::endpoint const& endpoint)
 {
     return Core::concat(endpoint.address().to_string(), ":", endpoint.port());
 }
@@ -51,7 +51,7 @@
 
 std::string LoadExchange::address() const
 {
-    return m_socket.is_open() ? to_text(m_socket.local_endpoint()) : std::string();
+    return m_socket.is_open() ? to_string(m_socket.local_endpoint()) : std::string();
 }
 
 void LoadExchange::schedule()
@@ -61,15 +61,15 @@
     m_timer.async_wait([this](auto const& error) {
         if (error)
             return;
-        turn(Core::monotonic_now());
+        tick(Core::monotonic_now());
         schedule();
     });
 }
 
-void LoadExchange::turn(Core::MonotonicTime now)
+void LoadExchange::tick(Core::MonotonicTime now)
 {
     // Read what has arrived before the silence of others is judged.
-    read_waiting();
+    read_pending();
     wait_for_datagrams();
     auto members = m_membership.load_members();
     if (members != nullptr && members != m_members) {
@@ -85,17 +85,17 @@
     auto const own_clock = std::chrono::floor<Core::Milliseconds>(std::chrono::system_clock::now());
     for (auto const& outgoing : m_sharing.tick(own_clock, now))
         send(outgoing);
-    tell_relay();
+    log_relay_change();
 }
 
-void LoadExchange::tell_relay()
+void LoadExchange::log_relay_change()
 {
-    if (m_sharing.is_relay() == m_was_relay && m_sharing.relay() == m_told_relay)
+    if (m_sharing.is_relay() == m_logged_is_relay && m_sharing.relay() == m_logged_relay)
         return;
-    m_was_relay = m_sharing.is_relay();
-    m_told_relay = m_sharing.relay();
-    m_relaying.set(m_was_relay ? 1 : 0);
-    m_log.write(Observe::LogEvent("load-relay").add("relays", m_was_relay).add("reports_to", m_told_relay));
+    m_logged_is_relay = m_sharing.is_relay();
+    m_logged_relay = m_sharing.relay();
+    m_relaying.set(m_logged_is_relay ? 1 : 0);
+    m_log.write(Observe::LogEvent("load-relay").add("relays", m_logged_is_relay).add("reports_to", m_logged_relay));
 }
 
 void LoadExchange::send(OutgoingDatagram const& outgoing)
@@ -125,26 +125,26 @@
         m_is_waiting = false;
         if (error == boost::asio::error::operation_aborted)
             return;
-        read_waiting();
+        read_pending();
         wait_for_datagrams();
     });
 }
 
-void LoadExchange::read_waiting()
+void LoadExchange::read_pending()
 {
-    for (int count = 0; count < s_most_read_at_once; ++count) {
+    for (int count = 0; count < s_max_datagrams_per_read; ++count) {
         auto const datagram = m_reader.read(m_socket.native_handle());
         if (!datagram)
             return;
-        take(*datagram);
+        handle(*datagram);
     }
 }
 
-void LoadExchange::take(ReceivedDatagram const& received)
+void LoadExchange::handle(ReceivedDatagram const& received)
 {
-    bool const is_taken = m_datagram.ParseFromArray(received.bytes.data(), static_cast<int>(received.bytes.size()))
+    bool const is_accepted = m_datagram.ParseFromArray(received.bytes.data(), static_cast<int>(received.bytes.size()))
         && m_sharing.receive(m_datagram, received.sender, Core::monotonic_now(), received.waited);
-    if (!is_taken)
+    if (!is_accepted)
         m_rejected.add();
 }
 
--- a/Libraries/LibGateway/LoadExchange.h
+++ b/Libraries/LibGateway/LoadExchange.h
@@ -59,15 +59,15 @@
             action();
     }
     void schedule();
-    void turn(Core::MonotonicTime now);
+    void tick(Core::MonotonicTime now);
     /// Logs whom this gateway reports to, and whether it relays, when that changes.
-    void tell_relay();
+    void log_relay_change();
     void send(OutgoingDatagram const&);
     [[nodiscard]] Udp::endpoint const& endpoint_of(std::string const& address);
     void wait_for_datagrams();
     /// Takes all datagrams that have arrived.
-    void read_waiting();
-    void take(ReceivedDatagram const&);
+    void read_pending();
+    void handle(ReceivedDatagram const&);
 
     Entry::SharedMembership const& m_membership;
     Entry::WatchDuty& m_duty;
@@ -77,8 +77,8 @@
     Observe::Gauge& m_relaying;
     LoadSharing m_sharing;
     std::shared_ptr<Entry::LoadMembers const> m_members;
-    bool m_was_relay {false};
-    std::string m_told_relay;
+    bool m_logged_is_relay {false};
+    std::string m_logged_relay;
     Udp::socket m_socket;
     /// By their text, which is how members are named.
     absl::flat_hash_map<std::string, Udp::endpoint> m_endpoints;
