--- a/Libraries/LibGateway/LoadSharing.cpp
+++ b/Libraries/LibGateway/LoadSharing.cpp
@@ -178,7 +178,7 @@
     m_has_new_reporter = m_has_new_reporter || m_aggregator.last_sequence_of(report.sender()) == 0;
     bool const has_gap = m_aggregator.last_sequence_of(report.sender()) + 1 < report.sequence();
     auto loads = read_loads(report.servers());
-    m_reporter_loads.take(report.sender(), report.sequence(), LoadSources::Extent::Whole, loads, now);
+    m_reporter_loads.apply(report.sender(), report.sequence(), LoadSources::ReportKind::Full, loads, now);
     if (!m_aggregator.update(report.sender(), {report.sequence(), now, from, std::move(loads)}))
         return;
     collect_suspicions(span_of(report.unreachable()), span_of(report.broken()), span_of(report.answering()), now);
@@ -222,7 +222,7 @@
     m_signals.take(part.signals(), Policy::Relaying::No, now);
     auto loads = read_loads(part.servers());
     subtract_own_load(part, loads);
-    if (!m_relay_loads.take(part.relay(), part.sequence(), LoadSources::Extent::Changes, loads, now))
+    if (!m_relay_loads.apply(part.relay(), part.sequence(), LoadSources::ReportKind::Delta, loads, now))
         return;
     apply_placements(part.placements());
     apply_suspicions(part, now);
@@ -331,9 +331,9 @@
     if (m_duties != nullptr)
         m_duties->duty().turn(own_clock, now);
     m_failure_detector.remove_expired(now);
-    m_relay_loads.forget_silent(now, s_relay_expiry, s_entry_expiry);
+    m_relay_loads.remove_silent(now, s_relay_expiry, s_entry_expiry);
     for (auto const gateway : m_aggregator.remove_silent(now))
-        m_reporter_loads.forget(gateway);
+        m_reporter_loads.remove(gateway);
     std::vector<OutgoingDatagram> outgoing;
     auto const relay = m_election.choose_relay(now);
     m_relay = relay.value_or(std::string());
--- a/Libraries/LibGateway/LoadSources.cpp
+++ b/Libraries/LibGateway/LoadSources.cpp
@@ -2,16 +2,16 @@
 
 namespace GraniteField::Gateway {
 
-bool LoadSources::take(
-    std::uint64_t source_id, std::uint64_t sequence, Extent extent, LoadsByServer const& loads, Core::MonotonicTime now)
+bool LoadSources::apply(std::uint64_t source_id, std::uint64_t sequence, ReportKind kind, LoadsByServer const& loads,
+    Core::MonotonicTime now)
 {
     auto& source = m_sources[source_id];
     if (sequence <= source.sequence)
         return false;
     source.sequence = sequence;
-    source.heard = now;
-    if (extent == Extent::Whole)
-        withdraw(source);
+    source.received_at = now;
+    if (kind == ReportKind::Full)
+        remove_loads(source);
     for (auto const& [server, load] : loads)
         set(source, server, load);
     return true;
@@ -31,40 +31,40 @@
     entry.server->remove_others(entry.load);
     entry.server->add_others(load);
     entry.load = load;
-    entry.heard = source.heard;
+    entry.received_at = source.received_at;
     if (load == ServerLoad())
         source.entries.erase(found);
 }
 
-void LoadSources::withdraw(Source& source)
+void LoadSources::remove_loads(Source& source)
 {
     for (auto const& [server, entry] : source.entries)
         entry.server->remove_others(entry.load);
     source.entries.clear();
 }
 
-void LoadSources::forget(std::uint64_t source_id)
+void LoadSources::remove(std::uint64_t source_id)
 {
     auto const found = m_sources.find(source_id);
     if (found == m_sources.end())
         return;
-    withdraw(found->second);
+    remove_loads(found->second);
     m_sources.erase(found);
 }
 
-void LoadSources::forget_silent(
-    Core::MonotonicTime now, Core::Milliseconds source_memory, Core::Milliseconds entry_memory)
+void LoadSources::remove_silent(
+    Core::MonotonicTime now, Core::Milliseconds source_expiry, Core::Milliseconds entry_expiry)
 {
     for (auto item = m_sources.begin(); item != m_sources.end();) {
         auto& source = item->second;
-        if (Core::elapsed(source.heard, now) > source_memory) {
-            withdraw(source);
+        if (Core::elapsed(source.received_at, now) > source_expiry) {
+            remove_loads(source);
             item = m_sources.erase(item);
             continue;
         }
         absl::erase_if(source.entries, [&](auto const& named) {
             auto const& entry = named.second;
-            if (Core::elapsed(entry.heard, now) <= entry_memory)
+            if (Core::elapsed(entry.received_at, now) <= entry_expiry)
                 return false;
             entry.server->remove_others(entry.load);
             return true;
--- a/Libraries/LibGateway/LoadSources.h
+++ b/Libraries/LibGateway/LoadSources.h
@@ -17,11 +17,11 @@
 /// gateway's thread; no I/O and no clock.
 class LoadSources {
 public:
-    enum class Extent {
+    enum class ReportKind {
         /// Servers that are not named are as they were.
-        Changes,
+        Delta,
         /// Servers that are not named have nothing open.
-        Whole,
+        Full,
     };
 
     explicit LoadSources(BackendFleet& fleet)
@@ -30,26 +30,26 @@
     }
 
     /// Takes what a source says, unless something newer has come from it already; says whether it was taken.
-    bool take(std::uint64_t source, std::uint64_t sequence, Extent, LoadsByServer const&, Core::MonotonicTime now);
-    void forget(std::uint64_t source);
-    /// Forgets sources that have said nothing for `source_memory`, and what they have not named for `entry_memory`.
-    void forget_silent(Core::MonotonicTime now, Core::Milliseconds source_memory, Core::Milliseconds entry_memory);
+    bool apply(std::uint64_t source, std::uint64_t sequence, ReportKind, LoadsByServer const&, Core::MonotonicTime now);
+    void remove(std::uint64_t source);
+    /// Forgets sources that have said nothing for `source_expiry`, and what they have not named for `entry_expiry`.
+    void remove_silent(Core::MonotonicTime now, Core::Milliseconds source_expiry, Core::Milliseconds entry_expiry);
 
 private:
     struct Entry {
         std::shared_ptr<BackendView> server;
         ServerLoad load;
-        Core::MonotonicTime heard;
+        Core::MonotonicTime received_at;
     };
 
     struct Source {
         std::uint64_t sequence {0};
-        Core::MonotonicTime heard;
+        Core::MonotonicTime received_at;
         absl::flat_hash_map<std::uint64_t, Entry> entries;
     };
 
     void set(Source&, std::uint64_t server, ServerLoad const&);
-    static void withdraw(Source&);
+    static void remove_loads(Source&);
 
     BackendFleet& m_fleet;
     std::map<std::uint64_t, Source> m_sources;
--- a/Tests/LibGateway/BackendFleetTest.cpp
+++ b/Tests/LibGateway/BackendFleetTest.cpp
@@ -51,7 +51,7 @@
     before->begin_attempt({1, 100, 0});
     before->note_unreachable(1, s_start);
     LoadSources others(m_fleet);
-    ASSERT_TRUE(others.take(5, 1, LoadSources::Extent::Whole, {{before->id(), {3, 300, 0}}}, s_start));
+    ASSERT_TRUE(others.apply(5, 1, LoadSources::ReportKind::Full, {{before->id(), {3, 300, 0}}}, s_start));
     ASSERT_EQ(before->load().open, 4U);
 
     follow(2'000);
@@ -65,7 +65,7 @@
     // What was sent to the life before is not there any more.
     EXPECT_FALSE(before->is_listed());
     // A late word on the load of the life before says nothing about this one.
-    ASSERT_TRUE(others.take(5, 2, LoadSources::Extent::Whole, {{before->id(), {4, 400, 0}}}, s_start));
+    ASSERT_TRUE(others.apply(5, 2, LoadSources::ReportKind::Full, {{before->id(), {4, 400, 0}}}, s_start));
     EXPECT_EQ(view()->load(), ServerLoad());
     EXPECT_NE(before->life().life, after->life().life);
     EXPECT_EQ(before->life().place, after->life().place);
