--- a/Libraries/LibGateway/BackendFleet.cpp
+++ b/Libraries/LibGateway/BackendFleet.cpp
@@ -221,7 +221,8 @@
     m_observed = now;
     for (auto const& [instance, view] : m_servers) {
         auto const long_reading = m_policy.engine_model(view->record().service).long_reading();
-        view->note_reading(static_cast<double>(view->load().unread_tokens) / static_cast<double>(long_reading), now);
+        view->note_prefill_load(
+            static_cast<double>(view->load().unread_tokens) / static_cast<double>(long_reading), now);
     }
 }
 
@@ -230,7 +231,7 @@
     std::vector<std::shared_ptr<BackendView>> servers;
     bool const is_bound = m_regions.binds(call);
     for (auto const& [instance, view] : m_servers) {
-        if (view->record().service != call.service || !view->takes_new_requests())
+        if (view->record().service != call.service || !view->accepts_new_requests())
             continue;
         if (!is_bound || m_regions.allows(call, view->record().failure_domain))
             servers.push_back(view);
--- a/Libraries/LibGateway/BackendView.h
+++ b/Libraries/LibGateway/BackendView.h
@@ -80,8 +80,8 @@
         if (before == Core::MonotonicTime())
             return;
         std::chrono::duration<double> const passed = now - before;
-        auto const kept = std::exp2(-passed.count() / s_half_life.count());
-        m_value = m_value * kept + value * (1 - kept);
+        auto const retained = std::exp2(-passed.count() / s_half_life.count());
+        m_value = m_value * retained + value * (1 - retained);
     }
 
 private:
@@ -118,7 +118,7 @@
     [[nodiscard]] Policy::ServerBackoff const& backoff() const { return m_backoff; }
 
     /// Whether it is serving and its failure domain is not drained.
-    [[nodiscard]] bool takes_new_requests() const { return is_serving() && !m_is_drained; }
+    [[nodiscard]] bool accepts_new_requests() const { return is_serving() && !m_is_drained; }
     /// Whether the operators drain its failure domain.
     [[nodiscard]] bool is_drained() const { return m_is_drained; }
     void set_drained(bool value) { m_is_drained = value; }
@@ -148,11 +148,11 @@
     [[nodiscard]] std::optional<Core::MonotonicTime> suspected_since() const { return m_suspected_since; }
 
     /// What this gateway has open there.
-    [[nodiscard]] ServerLoad const& own_load() const { return m_own; }
+    [[nodiscard]] ServerLoad const& own_load() const { return m_own_load; }
     /// The same for all gateways, as far as their reports tell.
-    [[nodiscard]] ServerLoad load() const { return m_own + m_others; }
-    void add_others(ServerLoad const& load) { m_others += load; }
-    void remove_others(ServerLoad const& load) { m_others -= load; }
+    [[nodiscard]] ServerLoad load() const { return m_own_load + m_peer_load; }
+    void add_peer_load(ServerLoad const& load) { m_peer_load += load; }
+    void remove_peer_load(ServerLoad const& load) { m_peer_load -= load; }
     /// The hash of the instance and of its birth, which stands for this life of it in datagrams.
     [[nodiscard]] std::uint64_t id() const { return m_id; }
     [[nodiscard]] PrefixMemory& prefixes() { return m_prefixes; }
@@ -165,31 +165,34 @@
     }
 
     /// An attempt begins; `load` is its part of the server's load until it ends.
-    void begin_attempt(ServerLoad const& load) { m_own += load; }
+    void begin_attempt(ServerLoad const& load) { m_own_load += load; }
 
     /// The engine has read the attempt's prompt: its first event came.
     void note_read(ServerLoad& load)
     {
-        m_own.unread_tokens -= load.unread_tokens;
+        m_own_load.unread_tokens -= load.unread_tokens;
         load.unread_tokens = 0;
     }
 
     /// The attempt is over; may be called again.
-    void end_attempt(ServerLoad& load) { m_own -= std::exchange(load, {}); }
+    void end_attempt(ServerLoad& load) { m_own_load -= std::exchange(load, {}); }
 
     /// Share of the last seconds in which the engine had a long prompt to read, for all that any gateway sent there.
-    [[nodiscard]] double reading_share() const { return m_reading.value(); }
+    [[nodiscard]] double prefill_fraction() const { return m_prefill_fraction.value(); }
     /// What it has to read now, as a part of a long reading.
-    void note_reading(double part, Core::MonotonicTime now) { m_reading.note(std::min(1.0, part), now); }
+    void note_prefill_load(double fraction, Core::MonotonicTime now)
+    {
+        m_prefill_fraction.note(std::min(1.0, fraction), now);
+    }
 
     /// Share of recent attempts that failed, weighed towards the newest and forgotten with time.
-    [[nodiscard]] double failure_rate(Core::MonotonicTime now) const { return m_failures.at(now); }
+    [[nodiscard]] double failure_rate(Core::MonotonicTime now) const { return m_failure_rate.at(now); }
 
     /// It answered well; says whether it was suspected.
     bool note_success(Core::MonotonicTime now)
     {
-        m_failures.set(m_failures.at(now) * (1 - s_newest_weight), now);
-        m_failures_in_a_row = 0;
+        m_failure_rate.set(m_failure_rate.at(now) * (1 - s_newest_attempt_weight), now);
+        m_consecutive_failures = 0;
         return note_alive();
     }
 
@@ -199,7 +202,7 @@
         m_suspected_since.reset();
         m_avoided_since = {};
         m_avoided_until = {};
-        return std::exchange(m_avoidances, 0U) > 0;
+        return std::exchange(m_avoidance_count, 0U) > 0;
     }
 
     /// This gateway or others found it dead. `gateways` is how many may try it again: their times are spread so that
@@ -207,9 +210,9 @@
     void note_suspected(std::size_t gateways, Core::MonotonicTime now)
     {
         // Many find the same out at once. What is found out later is that it is still dead.
-        if (Core::elapsed(m_avoided_since, now) < s_news_time)
+        if (Core::elapsed(m_avoided_since, now) < s_propagation_time)
             return;
-        avoid(now, s_spread_of_a_gateway * static_cast<int>(gateways));
+        avoid(now, s_spread_per_gateway * static_cast<int>(gateways));
         if (!m_suspected_since)
             m_suspected_since = now;
     }
@@ -217,15 +220,15 @@
     /// It answered badly or not at all.
     void note_failure(Core::MonotonicTime now)
     {
-        m_failures.set(m_failures.at(now) * (1 - s_newest_weight) + s_newest_weight, now);
-        if (++m_failures_in_a_row >= s_failures_to_avoid)
+        m_failure_rate.set(m_failure_rate.at(now) * (1 - s_newest_attempt_weight) + s_newest_attempt_weight, now);
+        if (++m_consecutive_failures >= s_failures_to_avoid)
             avoid(now, {});
     }
 
     /// It could not be connected to.
     void note_unreachable(std::size_t gateways, Core::MonotonicTime now)
     {
-        m_failures.set(m_failures.at(now) * (1 - s_newest_weight) + s_newest_weight, now);
+        m_failure_rate.set(m_failure_rate.at(now) * (1 - s_newest_attempt_weight) + s_newest_attempt_weight, now);
         note_suspected(gateways, now);
     }
 
@@ -242,24 +245,24 @@
     }
 
     /// What the newest attempt counts in the failure rate.
-    static constexpr double s_newest_weight = 0.25;
+    static constexpr double s_newest_attempt_weight = 0.25;
     /// Failures one after the other from which the server is left alone for a while.
     static constexpr unsigned s_failures_to_avoid = 3;
     /// How long it is left alone first, and at most; it doubles with each further failure.
-    static constexpr Core::Milliseconds s_shortest_avoidance {250};
-    static constexpr unsigned s_most_doublings = 3;
+    static constexpr Core::Milliseconds s_min_avoidance {250};
+    static constexpr unsigned s_max_doublings = 3;
     /// Within it news of a server reach all gateways.
-    static constexpr Core::Milliseconds s_news_time {150};
+    static constexpr Core::Milliseconds s_propagation_time {150};
     /// With this much for each gateway about five try it again before they have heard from the first.
-    static constexpr Core::Milliseconds s_spread_of_a_gateway {30};
-    static constexpr Core::Milliseconds s_longest_spread {3'000};
+    static constexpr Core::Milliseconds s_spread_per_gateway {30};
+    static constexpr Core::Milliseconds s_max_spread {3'000};
 
     void avoid(Core::MonotonicTime now, Core::Milliseconds spread)
     {
-        auto const doublings = std::min(m_avoidances++, s_most_doublings);
-        auto const own = std::chrono::duration_cast<Core::Milliseconds>(std::min(spread, s_longest_spread) * m_spread);
+        auto const doublings = std::min(m_avoidance_count++, s_max_doublings);
+        auto const own = std::chrono::duration_cast<Core::Milliseconds>(std::min(spread, s_max_spread) * m_spread);
         m_avoided_since = now;
-        m_avoided_until = now + s_shortest_avoidance * (1U << doublings) + own;
+        m_avoided_until = now + s_min_avoidance * (1U << doublings) + own;
     }
 
     Entry::ServerEntry m_record;
@@ -271,13 +274,13 @@
     bool m_states_leaving {false};
     Policy::ServerBackoff m_backoff;
     Core::MonotonicTime m_cold_until;
-    ServerLoad m_own;
-    ServerLoad m_others;
+    ServerLoad m_own_load;
+    ServerLoad m_peer_load;
     PrefixMemory m_prefixes;
-    DecayingMean m_reading;
-    DecayingValue m_failures;
-    unsigned m_failures_in_a_row {0};
-    unsigned m_avoidances {0};
+    DecayingMean m_prefill_fraction;
+    DecayingValue m_failure_rate;
+    unsigned m_consecutive_failures {0};
+    unsigned m_avoidance_count {0};
     std::optional<Core::MonotonicTime> m_suspected_since;
     Core::MonotonicTime m_avoided_since;
     Core::MonotonicTime m_avoided_until;
--- a/Libraries/LibGateway/CrashDetector.cpp
+++ b/Libraries/LibGateway/CrashDetector.cpp
@@ -65,7 +65,7 @@
     BackendView const& server, Core::RequestDigest const& digest, Policy::Exposure exposure, Core::MonotonicTime now)
 {
     // One that leaves ends with whatever it still has.
-    if (!server.takes_new_requests())
+    if (!server.accepts_new_requests())
         return;
     auto const& instance = server.record().instance;
     Policy::CrashWitness const witness {digest, server.life(), exposure, now};
--- a/Libraries/LibGateway/GatewayServer.cpp
+++ b/Libraries/LibGateway/GatewayServer.cpp
@@ -465,7 +465,7 @@
         auto const limit = m_fleet.rate_limit_of(view->id());
         servers.push_back({{"backend-server", instance}, {"service", view->record().service},
             {"address", view->record().address.to_string()}, {"domain", view->record().failure_domain},
-            {"serving", view->takes_new_requests()}, {"avoided", view->is_avoided(now)}, {"open", view->load().open},
+            {"serving", view->accepts_new_requests()}, {"avoided", view->is_avoided(now)}, {"open", view->load().open},
             {"failure-rate", view->failure_rate(now)}, {"drained", view->is_drained()}, {"cold", view->is_cold(now)},
             {"backoff-ms", Core::elapsed(now, view->backoff().next_send(now)).count()},
             {"rate-limit", limit ? nlohmann::json(*limit) : nlohmann::json()}});
--- a/Libraries/LibGateway/LoadSources.cpp
+++ b/Libraries/LibGateway/LoadSources.cpp
@@ -28,8 +28,8 @@
         found = source.entries.emplace(server, Entry {std::move(view), {}, {}}).first;
     }
     auto& entry = found->second;
-    entry.server->remove_others(entry.load);
-    entry.server->add_others(load);
+    entry.server->remove_peer_load(entry.load);
+    entry.server->add_peer_load(load);
     entry.load = load;
     entry.received_at = source.received_at;
     if (load == ServerLoad())
@@ -39,7 +39,7 @@
 void LoadSources::remove_loads(Source& source)
 {
     for (auto const& [server, entry] : source.entries)
-        entry.server->remove_others(entry.load);
+        entry.server->remove_peer_load(entry.load);
     source.entries.clear();
 }
 
@@ -66,7 +66,7 @@
             auto const& entry = named.second;
             if (Core::elapsed(entry.received_at, now) <= entry_expiry)
                 return false;
-            entry.server->remove_others(entry.load);
+            entry.server->remove_peer_load(entry.load);
             return true;
         });
         ++item;
--- a/Libraries/LibGateway/PlacementPolicy.cpp
+++ b/Libraries/LibGateway/PlacementPolicy.cpp
@@ -146,7 +146,7 @@
         return 0;
     auto const& model = *task.model;
     auto const by_present = model.late_probability(task.pause_target, server.load().unread_tokens);
-    auto const one_comes = 1 - std::exp(-server.reading_share() * s_readings_per_stream);
+    auto const one_comes = 1 - std::exp(-server.prefill_fraction() * s_readings_per_stream);
     auto const by_coming = one_comes * model.late_probability(task.pause_target, model.long_reading());
     return s_late_stream_loss * (1 - (1 - by_present) * (1 - by_coming));
 }
--- a/Meta/deliberate-breaks.sh
+++ b/Meta/deliberate-breaks.sh
@@ -68,7 +68,7 @@
     '55|Libraries/LibPolicy/CrashLedger.h|s/s_telling_time {1.000}/s_telling_time {1}/|CrashSharingTest|*ThreeDatagramsInTen*'
     '56|Libraries/LibPolicy/CrashLedger.h|s/s_refresh {300}/s_refresh {100000000}/|CrashSharingTest|*WhoBeginsLater*'
     '57|Libraries/LibGateway/GatewayRun.cpp|s/return ledger.count_quarantined() > 0/return ledger.count_quarantined() > 9999/|CrashRulesTest|*ReachesThreeMore*'
-    '58|Libraries/LibGateway/CrashDetector.cpp|s/if (!server.takes_new_requests())/if (false)/|CrashRulesTest|*LeavesIsNoCrash*'
+    '58|Libraries/LibGateway/CrashDetector.cpp|s/if (!server.accepts_new_requests())/if (false)/|CrashRulesTest|*LeavesIsNoCrash*'
     '59|Libraries/LibGateway/BackendFleet.cpp|s/bool const is_reborn = view != nullptr \&\& /bool const is_reborn = view == nullptr \&\& /|BackendFleetTest|*NothingThatWasBelieved*'
     '60|Libraries/LibCore/Compression.cpp|s/compressed.resize(size);/compressed.resize(compressed.size());/|PeerExchangeTest|*ManyNewRoutes*'
     '61|Libraries/LibEntry/PullSchedule.cpp|s/m_offers.push_back({std::move(origin), versions});/m_offers.assign(1, {std::move(origin), versions});/|PullScheduleTest|*EverybodyElse*'
--- a/Tests/LibGateway/BackendFleetTest.cpp
+++ b/Tests/LibGateway/BackendFleetTest.cpp
@@ -61,7 +61,7 @@
     EXPECT_FALSE(after->is_avoided(s_start));
     EXPECT_FALSE(after->suspected_since());
     EXPECT_EQ(after->failure_rate(s_start), 0);
-    EXPECT_TRUE(after->takes_new_requests());
+    EXPECT_TRUE(after->accepts_new_requests());
     // What was sent to the life before is not there any more.
     EXPECT_FALSE(before->is_listed());
     // A late word on the load of the life before says nothing about this one.
--- a/Tests/LibGateway/SignalSharingTest.cpp
+++ b/Tests/LibGateway/SignalSharingTest.cpp
@@ -205,7 +205,7 @@
     told.fleet.note_signals(view(told, "i-3"), leaving, m_now, m_now);
     play(s_knowledge_limit + Policy::LeavingFacts::s_repetition_interval * 2);
     for (auto const& node : m_nodes)
-        EXPECT_FALSE(view(*node, "i-3").takes_new_requests()) << node->address;
+        EXPECT_FALSE(view(*node, "i-3").accepts_new_requests()) << node->address;
 }
 
 }
