--- a/Libraries/LibGateway/BackendFleet.cpp
+++ b/Libraries/LibGateway/BackendFleet.cpp
@@ -35,7 +35,7 @@
     return static_cast<double>(Core::hash_bytes(instance, m_seed) % steps) / steps;
 }
 
-void BackendFleet::follow(Entry::ServerList const& list, Core::MonotonicTime now)
+void BackendFleet::apply(Entry::ServerList const& list, Core::MonotonicTime now)
 {
     bool const is_first = !std::exchange(m_has_list, true);
     std::set<std::string> listed;
@@ -44,22 +44,22 @@
         auto& view = m_servers[record.instance];
         // What was believed of an earlier life holds for nothing in this one: what it has open and keeps, how it
         // answers, whether it is dead. Attempts that were sent to that life keep their view of it.
-        bool const is_reborn = view != nullptr && view->record().is_of_earlier_life_than(record);
+        bool const is_new_run = view != nullptr && view->record().is_of_earlier_life_than(record);
         if (view != nullptr && record.is_of_earlier_life_than(view->record()))
             continue;
-        if (is_reborn)
+        if (is_new_run)
             view->set_unlisted(now);
-        if (view == nullptr || is_reborn) {
+        if (view == nullptr || is_new_run) {
             view = std::make_shared<BackendView>(record, spread_of(record.instance));
             view->prefixes().set_capacity(m_services[record.service].memory_tokens);
             view->set_drained(m_drains.failure_domains.contains(record.failure_domain));
-            if (m_leavings.find(view->id()) != nullptr)
+            if (m_leaving_facts.find(view->id()) != nullptr)
                 view->set_states_leaving();
             m_servers_by_id[view->id()] = view;
             // Servers of the first list may have been running for long; only their entries say whether they are cold.
             if (!is_first) {
                 expect_cold(*view, now);
-                log_change(record, is_reborn ? "reborn" : "added", list.revision);
+                log_change(record, is_new_run ? "reborn" : "added", list.revision);
             }
             continue;
         }
@@ -86,14 +86,14 @@
         view->set_unlisted(now);
         log_change(view->record(), "gone", list.revision);
     }
-    std::erase_if(m_servers, [now](auto const& item) { return is_forgotten(item.second, now); });
+    std::erase_if(m_servers, [now](auto const& item) { return is_removable(item.second, now); });
     absl::erase_if(m_servers_by_id, [](auto const& item) { return item.second.expired(); });
     auto const is_listed = [this](std::uint64_t id) { return m_servers_by_id.contains(id); };
     m_rate_limits.forget_old(is_listed, now);
-    m_leavings.forget_old(is_listed, now);
+    m_leaving_facts.forget_old(is_listed, now);
 }
 
-bool BackendFleet::is_forgotten(std::shared_ptr<BackendView> const& view, Core::MonotonicTime now)
+bool BackendFleet::is_removable(std::shared_ptr<BackendView> const& view, Core::MonotonicTime now)
 {
     bool const has_attempts = view.use_count() > 1;
     if (view->is_listed() || has_attempts)
@@ -109,7 +109,7 @@
     return found == m_servers_by_id.end() ? nullptr : found->second.lock();
 }
 
-void BackendFleet::follow(Table::Table const& table)
+void BackendFleet::apply(Table::Table const& table)
 {
     for (auto const& [name, service] : table.services())
         m_services[name] = service;
@@ -119,7 +119,7 @@
     m_policy.follow(table);
 }
 
-void BackendFleet::follow(Entry::DrainList const& drains, Core::MonotonicTime now)
+void BackendFleet::apply(Entry::DrainList const& drains, Core::MonotonicTime now)
 {
     for (auto& [instance, view] : m_servers) {
         bool const is_drained = drains.failure_domains.contains(view->record().failure_domain);
@@ -135,7 +135,7 @@
     m_drains = drains;
 }
 
-void BackendFleet::follow(Entry::LoadMembers const* members)
+void BackendFleet::apply(Entry::LoadMembers const* members)
 {
     if (members == nullptr) {
         m_cold_shares.forget_gateways();
@@ -176,13 +176,13 @@
 
 Unavailability BackendFleet::unavailability(GatewayCall const& call) const
 {
-    bool is_anywhere = false;
+    bool is_served = false;
     bool is_allowed = false;
     for (auto const& [instance, view] : m_servers) {
-        bool const is_there = view->record().service == call.service && view->is_serving();
-        if (!is_there)
+        bool const serves = view->record().service == call.service && view->is_serving();
+        if (!serves)
             continue;
-        is_anywhere = true;
+        is_served = true;
         if (!m_regions.allows(call, view->record().failure_domain))
             continue;
         is_allowed = true;
@@ -191,7 +191,7 @@
     }
     if (is_allowed)
         return Unavailability::Drains;
-    return is_anywhere ? Unavailability::Regions : Unavailability::Servers;
+    return is_served ? Unavailability::Regions : Unavailability::Servers;
 }
 
 void BackendFleet::add_servers_at(std::span<std::uint64_t const> places, std::set<std::string>& instances) const
@@ -214,11 +214,11 @@
     m_policy.engine_model(service).note_pause(pause, server.load().unread_tokens);
 }
 
-void BackendFleet::observe(Core::MonotonicTime now)
+void BackendFleet::sample_prefill_load(Core::MonotonicTime now)
 {
-    if (Core::elapsed(m_observed, now) < s_observation_interval)
+    if (Core::elapsed(m_last_sample, now) < s_sampling_interval)
         return;
-    m_observed = now;
+    m_last_sample = now;
     for (auto const& [instance, view] : m_servers) {
         auto const long_reading = m_policy.engine_model(view->record().service).long_reading();
         view->note_prefill_load(
@@ -229,11 +229,11 @@
 std::vector<std::shared_ptr<BackendView>> BackendFleet::servers_for(GatewayCall const& call) const
 {
     std::vector<std::shared_ptr<BackendView>> servers;
-    bool const is_bound = m_regions.binds(call);
+    bool const is_restricted = m_regions.binds(call);
     for (auto const& [instance, view] : m_servers) {
         if (view->record().service != call.service || !view->accepts_new_requests())
             continue;
-        if (!is_bound || m_regions.allows(call, view->record().failure_domain))
+        if (!is_restricted || m_regions.allows(call, view->record().failure_domain))
             servers.push_back(view);
     }
     return servers;
@@ -254,9 +254,9 @@
         return excluded.contains(server.record().instance) || (server.is_cold(now) && !has_cold_share(server, now))
             || next_send(server, now) > now;
     });
-    bool const is_one_sound
+    bool const has_unavoided
         = std::ranges::any_of(candidates, [now](auto const& item) { return !item.server->is_avoided(now); });
-    if (is_one_sound)
+    if (has_unavoided)
         std::erase_if(candidates, [now](auto const& item) { return item.server->is_avoided(now); });
     return candidates;
 }
--- a/Libraries/LibGateway/BackendFleet.h
+++ b/Libraries/LibGateway/BackendFleet.h
@@ -35,7 +35,7 @@
 };
 
 /// The next time at which a request may be sent to a server.
-struct Opening {
+struct EarliestSend {
     /// By this gateway.
     Core::MonotonicTime here;
     /// By any gateway, for a caller that retries elsewhere.
@@ -56,20 +56,20 @@
     static constexpr Core::Milliseconds s_confirmation_time {60'000};
 
     /// How often the engines' readings are looked at.
-    static constexpr Core::Milliseconds s_observation_interval {100};
+    static constexpr Core::Milliseconds s_sampling_interval {100};
 
     BackendFleet(Settings, Observe::EventLog&);
 
     void set_settings(Settings settings) { m_policy.set_settings(std::move(settings)); }
 
     /// Takes the list; servers that it lacks get nothing new.
-    void follow(Entry::ServerList const&, Core::MonotonicTime now);
+    void apply(Entry::ServerList const&, Core::MonotonicTime now);
     /// Servers in drained failure domains get nothing new.
-    void follow(Entry::DrainList const&, Core::MonotonicTime now);
+    void apply(Entry::DrainList const&, Core::MonotonicTime now);
     /// What the table says of services and of regions.
-    void follow(Table::Table const&);
+    void apply(Table::Table const&);
     /// The gateways that share what cold servers bear; null before this one knows them.
-    void follow(Entry::LoadMembers const*);
+    void apply(Entry::LoadMembers const*);
 
     /// The best backend server that is not among `excluded`; no server when there is none.
     [[nodiscard]] Choice choose(
@@ -78,14 +78,14 @@
     /// Why choose() has no server for the request.
     [[nodiscard]] Unavailability unavailability(GatewayCall const&) const;
     /// The next opening for a request that choose() finds no server for; nullopt if it is not known.
-    [[nodiscard]] std::optional<Opening> next_opening(GatewayCall const&, Core::MonotonicTime now) const;
+    [[nodiscard]] std::optional<EarliestSend> earliest_send(GatewayCall const&, Core::MonotonicTime now) const;
     /// Takes the statements of an answer to a request that was sent at that time.
     void note_signals(BackendView&, ServerSignals const&, Core::MonotonicTime sent, Core::MonotonicTime received);
     /// Takes a report of another gateway.
-    void take_report(Policy::RateLimitFacts::Report const&, Policy::Relaying, Core::MonotonicTime now);
-    void take_report(Policy::LeavingFacts::Report const&, Policy::Relaying, Core::MonotonicTime now);
+    void receive_report(Policy::RateLimitFacts::Report const&, Policy::Relaying, Core::MonotonicTime now);
+    void receive_report(Policy::LeavingFacts::Report const&, Policy::Relaying, Core::MonotonicTime now);
     [[nodiscard]] Policy::RateLimitFacts& rate_limits() { return m_rate_limits; }
-    [[nodiscard]] Policy::LeavingFacts& leavings() { return m_leavings; }
+    [[nodiscard]] Policy::LeavingFacts& leaving_facts() { return m_leaving_facts; }
     /// Requests per second that the server accepts from all gateways; nullopt for no limit.
     [[nodiscard]] std::optional<double> rate_limit_of(std::uint64_t server) const;
     /// A request goes to the server.
@@ -102,7 +102,7 @@
     void note_pause(std::string const& service, BackendView const&, EngineModel::Time pause);
 
     /// Looks at what the engines have to read; to be called often.
-    void observe(Core::MonotonicTime now);
+    void sample_prefill_load(Core::MonotonicTime now);
 
     /// Number of servers in the newest list.
     [[nodiscard]] std::size_t listed_count() const { return m_listed_count; }
@@ -122,9 +122,8 @@
     /// The earliest time from `now` on that the server's statements allow for a request of this gateway.
     [[nodiscard]] Core::MonotonicTime next_send(BackendView const&, Core::MonotonicTime now) const;
     /// Whether an answer without a limit is evidence that other gateways may lack.
-    [[nodiscard]] bool is_sign_of_no_limit(
-        BackendView const&, ServerSignals const&, Core::MonotonicTime received) const;
-    [[nodiscard]] Opening opening_of(BackendView const&, Core::MonotonicTime now) const;
+    [[nodiscard]] bool disproves_limit(BackendView const&, ServerSignals const&, Core::MonotonicTime received) const;
+    [[nodiscard]] EarliestSend earliest_send_to(BackendView const&, Core::MonotonicTime now) const;
     [[nodiscard]] bool is_recheck_due(BackendView const&, Core::MonotonicTime now) const;
     /// A server whose rate limit is due for a recheck, if the request would still meet its target there.
     [[nodiscard]] std::optional<Choice> choose_for_recheck(
@@ -137,7 +136,7 @@
     /// It may be cold now without having said so.
     void expect_cold(BackendView&, Core::MonotonicTime now) const;
     /// Whether the view can be dropped: its server is not listed, and has neither attempts nor a backoff.
-    [[nodiscard]] static bool is_forgotten(std::shared_ptr<BackendView> const&, Core::MonotonicTime now);
+    [[nodiscard]] static bool is_removable(std::shared_ptr<BackendView> const&, Core::MonotonicTime now);
     [[nodiscard]] double spread_of(std::string const& instance) const;
 
     PlacementPolicy m_policy;
@@ -150,11 +149,11 @@
     RegionRules m_regions;
     Policy::ColdShares m_cold_shares;
     Policy::RateLimitFacts m_rate_limits;
-    Policy::LeavingFacts m_leavings;
+    Policy::LeavingFacts m_leaving_facts;
     Policy::LimitShares m_limit_shares;
     bool m_has_list {false};
     std::size_t m_listed_count {0};
-    Core::MonotonicTime m_observed;
+    Core::MonotonicTime m_last_sample;
 };
 
 }
--- a/Libraries/LibGateway/BackendFleetSignals.cpp
+++ b/Libraries/LibGateway/BackendFleetSignals.cpp
@@ -27,21 +27,21 @@
     return limit ? std::max(after_backoff, m_limit_shares.next_send(view.id(), *limit, now)) : after_backoff;
 }
 
-std::optional<Opening> BackendFleet::next_opening(GatewayCall const& call, Core::MonotonicTime now) const
+std::optional<EarliestSend> BackendFleet::earliest_send(GatewayCall const& call, Core::MonotonicTime now) const
 {
-    std::optional<Opening> next;
+    std::optional<EarliestSend> next;
     for (auto const& view : servers_for(call)) {
-        auto const opening = opening_of(*view, now);
+        auto const send = earliest_send_to(*view, now);
         // Something else keeps the request from this server, for an unknown time.
-        if (opening.here <= now)
+        if (send.here <= now)
             return std::nullopt;
-        auto const first = next.value_or(opening);
-        next = {std::min(first.here, opening.here), std::min(first.anywhere, opening.anywhere)};
+        auto const first = next.value_or(send);
+        next = {std::min(first.here, send.here), std::min(first.anywhere, send.anywhere)};
     }
     return next;
 }
 
-Opening BackendFleet::opening_of(BackendView const& view, Core::MonotonicTime now) const
+EarliestSend BackendFleet::earliest_send_to(BackendView const& view, Core::MonotonicTime now) const
 {
     auto const here = next_send(view, now);
     auto const limit = limit_of(view.id());
@@ -74,7 +74,7 @@
     return choice;
 }
 
-bool BackendFleet::is_sign_of_no_limit(
+bool BackendFleet::disproves_limit(
     BackendView const& view, ServerSignals const& signals, Core::MonotonicTime received) const
 {
     auto const* known = m_rate_limits.is_empty() ? nullptr : m_rate_limits.find(view.id());
@@ -93,9 +93,9 @@
         view.backoff().note_rejected(*signals.retry_after, received);
     else
         view.backoff().note_accepted(sent);
-    if (signals.is_leaving && m_leavings.note(view.id(), {received}, received) == FactChange::Changed)
+    if (signals.is_leaving && m_leaving_facts.note(view.id(), {received}, received) == FactChange::Changed)
         mark_leaving(view.id(), "answer");
-    if (!signals.rate_limit && !is_sign_of_no_limit(view, signals, received))
+    if (!signals.rate_limit && !disproves_limit(view, signals, received))
         return;
     auto const before = rate_limit_of(view.id());
     auto const fact
@@ -104,7 +104,7 @@
         log_limit(view.id(), before, "answer");
 }
 
-void BackendFleet::take_report(
+void BackendFleet::receive_report(
     Policy::RateLimitFacts::Report const& report, Policy::Relaying relaying, Core::MonotonicTime now)
 {
     auto const before = rate_limit_of(report.server);
@@ -112,10 +112,10 @@
         log_limit(report.server, before, "gateway");
 }
 
-void BackendFleet::take_report(
+void BackendFleet::receive_report(
     Policy::LeavingFacts::Report const& report, Policy::Relaying relaying, Core::MonotonicTime now)
 {
-    if (m_leavings.take(report, relaying, now) == Policy::FactChange::Changed)
+    if (m_leaving_facts.take(report, relaying, now) == Policy::FactChange::Changed)
         mark_leaving(report.server, "gateway");
 }
 
--- a/Libraries/LibGateway/GatewayRun.cpp
+++ b/Libraries/LibGateway/GatewayRun.cpp
@@ -183,7 +183,7 @@
         m_held_since = now;
     auto const target = m_call.request_class->first_token_target;
     auto const limit = std::min(m_context.settings.hold_limit, target / 4);
-    auto const opening = m_context.fleet.next_opening(m_call, now);
+    auto const opening = m_context.fleet.earliest_send(m_call, now);
     bool const opens_too_late = opening && Core::elapsed(*m_held_since, opening->here) > limit;
     if (!has_tried && !opens_too_late && Core::elapsed(*m_held_since, now) < limit)
         return;
@@ -193,7 +193,7 @@
     fail(Status::s_bad_gateway, "no_backend_server", "no backend server of the service can be reached");
 }
 
-Core::Milliseconds GatewayRun::return_delay(Opening const& opening, Core::MonotonicTime now) const
+Core::Milliseconds GatewayRun::return_delay(EarliestSend const& opening, Core::MonotonicTime now) const
 {
     return Policy::return_delay(Core::elapsed(now, opening.anywhere), m_call.priority, own_draw());
 }
@@ -355,7 +355,7 @@
         return try_again("the backend server did not run it", now);
     if (m_has_begun_answer)
         return cut("the stream was not taken up");
-    auto const opening = m_context.fleet.next_opening(m_call, now);
+    auto const opening = m_context.fleet.earliest_send(m_call, now);
     fail(Status::s_bad_gateway, "refused", "the backend server did not take the request",
         opening ? std::optional(return_delay(*opening, now)) : std::nullopt);
 }
--- a/Libraries/LibGateway/GatewayRun.h
+++ b/Libraries/LibGateway/GatewayRun.h
@@ -128,7 +128,7 @@
     /// A random number of the request from 0 to 1.
     [[nodiscard]] double own_draw() const;
     /// Delay to send as Retry-After when the request can be served at that opening.
-    [[nodiscard]] Core::Milliseconds return_delay(Opening const&, Core::MonotonicTime now) const;
+    [[nodiscard]] Core::Milliseconds return_delay(EarliestSend const&, Core::MonotonicTime now) const;
     void tell_rejection(Policy::Rejection const&) const;
     [[nodiscard]] std::string request_for(BackendView const&, Core::MonotonicTime now) const;
 
--- a/Libraries/LibGateway/GatewayServer.cpp
+++ b/Libraries/LibGateway/GatewayServer.cpp
@@ -290,17 +290,17 @@
                         .add("known_for_ms", delay));
         m_registry.gauge("granitefield_table_version").set(static_cast<std::int64_t>(table->version().value()));
         m_table = std::move(table);
-        m_fleet.follow(*m_table);
+        m_fleet.apply(*m_table);
         auto const limits = m_table->caller_limits();
         m_limits = {{limits.head_bytes, limits.body_bytes}, limits.head_time, limits.idle_time};
     }
     auto const servers = m_shared_servers.current();
     if (servers && servers != m_servers) {
         m_servers = servers;
-        m_fleet.follow(*servers, Core::monotonic_now());
+        m_fleet.apply(*servers, Core::monotonic_now());
     }
     if (m_shared_drains != nullptr && m_shared_drains->version() != m_fleet.drains().version)
-        m_fleet.follow(m_shared_drains->current(), Core::monotonic_now());
+        m_fleet.apply(m_shared_drains->current(), Core::monotonic_now());
     bool const has_become_ready = update_readiness() && m_is_ready;
     if (m_is_ready && (has_new_table || has_become_ready) && !m_early_requests.is_empty())
         begin_early_requests();
@@ -319,7 +319,7 @@
     if (members == m_members)
         return;
     m_members = members;
-    m_fleet.follow(m_members.get());
+    m_fleet.apply(m_members.get());
 }
 
 bool GatewayServer::update_readiness()
@@ -358,7 +358,7 @@
     }
     m_context.entry_count = m_membership.other_entries + 1;
     follow_members();
-    m_fleet.observe(now);
+    m_fleet.sample_prefill_load(now);
     m_crashes.tick(now);
     tick_runs(now);
     if (m_context.usage != nullptr)
--- a/Libraries/LibGateway/SignalSharing.cpp
+++ b/Libraries/LibGateway/SignalSharing.cpp
@@ -59,7 +59,7 @@
 
 bool SignalSharing::has_due_reports(Core::MonotonicTime now) const
 {
-    return m_fleet.rate_limits().has_due_reports(now) || m_fleet.leavings().has_due_reports(now);
+    return m_fleet.rate_limits().has_due_reports(now) || m_fleet.leaving_facts().has_due_reports(now);
 }
 
 bool SignalSharing::is_within_bounds(Message const& message)
@@ -73,21 +73,21 @@
 void SignalSharing::fill(Message& message, Core::MonotonicTime now)
 {
     write(message, m_fleet.rate_limits().take_due_reports(now), now);
-    write(message, m_fleet.leavings().take_due_reports(now), now);
+    write(message, m_fleet.leaving_facts().take_due_reports(now), now);
 }
 
 void SignalSharing::fill_everything(Message& message, Core::MonotonicTime now) const
 {
     write(message, m_fleet.rate_limits().everything(), now);
-    write(message, m_fleet.leavings().everything(), now);
+    write(message, m_fleet.leaving_facts().everything(), now);
 }
 
 void SignalSharing::take(Message const& message, Policy::Relaying relaying, Core::MonotonicTime now)
 {
     for (auto const& report : message.rate_limits())
-        m_fleet.take_report(read(report, now), relaying, now);
+        m_fleet.receive_report(read(report, now), relaying, now);
     for (auto const& report : message.leaving())
-        m_fleet.take_report(
+        m_fleet.receive_report(
             LeavingFacts::Report {report.server(), {time_of(report.stated_age_ms(), now)}}, relaying, now);
 }
 
--- a/Tests/LibGateway/BackendFleetTest.cpp
+++ b/Tests/LibGateway/BackendFleetTest.cpp
@@ -29,7 +29,7 @@
         Entry::ServerList list;
         list.servers.push_back({"i-1", "svc", *Core::Address::from_string("127.0.0.1:9"), "here", 8,
             Table::BackendServerState::Serving, Platform::BirthTime(Core::Milliseconds(born))});
-        m_fleet.follow(list, s_start);
+        m_fleet.apply(list, s_start);
     }
 
     [[nodiscard]] std::shared_ptr<BackendView> view() const { return m_fleet.all().at("i-1"); }
@@ -83,10 +83,10 @@
         for (int number = 0; number < 3'000; ++number)
             list.servers.push_back({Core::concat("i-", number), "svc", *Core::Address::from_string("127.0.0.1:9"),
                 "here", 8, Table::BackendServerState::Serving});
-        fleet.follow(list, s_start);
+        fleet.apply(list, s_start);
         list.servers.push_back({"i-last", "svc", *Core::Address::from_string("127.0.0.1:9"), "here", 8,
             Table::BackendServerState::Serving});
-        fleet.follow(list, s_start);
+        fleet.apply(list, s_start);
     }
     std::rewind(file);
     std::string written(64U << 10U, ' ');
@@ -117,7 +117,7 @@
     {
         list_servers();
         Entry::LoadMembers const alone;
-        m_fleet.follow(&alone);
+        m_fleet.apply(&alone);
         m_class.first_token_target = 2s;
         m_call.route = &m_route;
         m_call.request_class = &m_class;
@@ -132,7 +132,7 @@
         for (auto const& instance : m_instances)
             list.servers.push_back({instance, "svc", *Core::Address::from_string("127.0.0.1:9"), "here", 64,
                 Table::BackendServerState::Serving});
-        m_fleet.follow(list, s_start);
+        m_fleet.apply(list, s_start);
     }
 
     /// The first server.
@@ -227,7 +227,7 @@
     rejecting.retry_after = 30s;
     take_answer(rejecting, s_start);
     ASSERT_FALSE(is_chosen(s_start + 1s));
-    m_fleet.follow(Entry::ServerList(), s_start + 1s);
+    m_fleet.apply(Entry::ServerList(), s_start + 1s);
     EXPECT_EQ(m_fleet.listed_count(), 0U);
     list_servers();
     EXPECT_FALSE(is_chosen(s_start + 2s));
--- a/Tests/LibGateway/LoadExchangeTest.cpp
+++ b/Tests/LibGateway/LoadExchangeTest.cpp
@@ -29,7 +29,7 @@
         Entry::ServerList list;
         list.servers.push_back(
             {"i-1", "svc", *Core::Address::from_string("127.0.0.1:9"), "here", 8, Table::BackendServerState::Serving});
-        m_fleet.follow(list, Core::monotonic_now());
+        m_fleet.apply(list, Core::monotonic_now());
     }
 
     [[nodiscard]] BackendView& server() { return *m_fleet.all().begin()->second; }
--- a/Tests/LibGateway/LoadFleet.h
+++ b/Tests/LibGateway/LoadFleet.h
@@ -81,7 +81,7 @@
             list.servers.push_back({Core::concat("i-", engine), "svc", *Core::Address::from_string("127.0.0.1:9"),
                 "here", 64, Table::BackendServerState::Serving});
         auto node = std::make_unique<Node>(number, m_made++ / m_count, m_now);
-        node->fleet.follow(list, s_start);
+        node->fleet.apply(list, s_start);
         return node;
     }
 
@@ -95,7 +95,7 @@
                     members.others.push_back(other->member);
             }
             node->sharing.set_members(members);
-            node->fleet.follow(&members);
+            node->fleet.apply(&members);
         }
     }
 
--- a/Tests/LibGateway/LoadSharingTest.cpp
+++ b/Tests/LibGateway/LoadSharingTest.cpp
@@ -236,7 +236,7 @@
     for (int number = 0; number < 3; ++number)
         list.servers.push_back({Core::concat("i-", number), "svc", *Core::Address::from_string("127.0.0.1:9"), "here",
             64, Table::BackendServerState::Serving});
-    node.fleet.follow(list, s_start);
+    node.fleet.apply(list, s_start);
     node.sharing.set_members({node.member, {peer.member}});
     std::vector<std::uint64_t> ids {1};
     for (auto const& [instance, view] : node.fleet.all())
--- a/Tests/LibGateway/OverloadTest.cpp
+++ b/Tests/LibGateway/OverloadTest.cpp
@@ -100,8 +100,8 @@
             list.servers.push_back({Core::concat("i-", number), "svc", *Core::Address::from_string("127.0.0.1:9"),
                 "here", EngineSimulation::s_slots, Table::BackendServerState::Serving});
         }
-        m_fleet.follow(list, s_start);
-        m_fleet.follow(*m_table);
+        m_fleet.apply(list, s_start);
+        m_fleet.apply(*m_table);
         for (std::size_t kind = 0; kind < m_kinds.size(); ++kind)
             draw_next(kind);
     }
@@ -119,7 +119,7 @@
             }
             for (auto& [instance, engine] : m_engines)
                 engine.run_until(m_now);
-            m_fleet.observe(at(m_now));
+            m_fleet.sample_prefill_load(at(m_now));
         }
     }
 
--- a/Tests/LibGateway/PauseRulesTest.cpp
+++ b/Tests/LibGateway/PauseRulesTest.cpp
@@ -48,8 +48,8 @@
         for (auto const* instance : {"i-1", "i-2", "i-3"})
             list.servers.push_back({instance, "svc", *Core::Address::from_string("127.0.0.1:9"), "here", 64,
                 Table::BackendServerState::Serving});
-        m_fleet.follow(list, s_now);
-        m_fleet.follow(*m_table);
+        m_fleet.apply(list, s_now);
+        m_fleet.apply(*m_table);
     }
 
     /// A call with a part that other prompts share, which makes one engine its home, and a part of its own.
@@ -155,7 +155,7 @@
     home->begin_attempt(load);
     auto now = s_now;
     for (int count = 0; count < 20; ++count)
-        m_fleet.observe(now += BackendFleet::s_observation_interval);
+        m_fleet.sample_prefill_load(now += BackendFleet::s_sampling_interval);
     home->end_attempt(load);
     EXPECT_NE(choose(call("chat", 1'000, "p")).server, home);
 }
@@ -252,7 +252,7 @@
             view->begin_attempt({1, EngineModel::s_first_long_reading / 2, 0});
     }
     for (int count = 0; count < 20; ++count)
-        m_fleet.observe(now += BackendFleet::s_observation_interval);
+        m_fleet.sample_prefill_load(now += BackendFleet::s_sampling_interval);
     auto const slots = last->record().slots;
     for (unsigned number = 0; number < 2 * slots; ++number)
         choose(call("chat", 100, "p")).server->begin_attempt({1, 0, 1});
