--- a/Libraries/LibGateway/ServerRoster.cpp
+++ b/Libraries/LibGateway/ServerRoster.cpp
@@ -4,13 +4,13 @@
 
 namespace GraniteField::Gateway {
 
-void ServerRoster::take_list(
+void ServerRoster::apply_list(
     std::vector<Entry::ServerEntry> servers, Entry::ListRevision revision, Core::MonotonicTime now)
 {
     std::set<std::string> listed;
     for (auto& server : servers) {
         listed.insert(server.instance);
-        take_change(std::move(server));
+        apply_entry(std::move(server));
     }
     std::vector<std::string> missing;
     for (auto const& [instance, entry] : m_entries) {
@@ -18,7 +18,7 @@
             missing.push_back(instance);
     }
     for (auto const& instance : missing)
-        take_removal(instance, now);
+        apply_removal(instance, now);
     m_revision = revision;
 }
 
@@ -28,11 +28,11 @@
         return;
     m_entries.clear();
     for (auto const& server : list.servers)
-        take_change(server);
+        apply_entry(server);
     m_revision = list.revision;
 }
 
-void ServerRoster::take_change(Entry::ServerEntry server)
+void ServerRoster::apply_entry(Entry::ServerEntry server)
 {
     auto const instance = server.instance;
     auto const known = m_entries.find(instance);
@@ -42,7 +42,7 @@
     m_entries.insert_or_assign(instance, KnownServer {std::move(server), false});
 }
 
-void ServerRoster::take_removal(std::string const& instance, Core::MonotonicTime now)
+void ServerRoster::apply_removal(std::string const& instance, Core::MonotonicTime now)
 {
     auto const found = m_entries.find(instance);
     if (found == m_entries.end())
@@ -55,7 +55,7 @@
         m_entries.erase(found);
 }
 
-void ServerRoster::note_store_answers(Core::MonotonicTime now)
+void ServerRoster::note_store_available(Core::MonotonicTime now)
 {
     if (!m_is_store_lost)
         return;
--- a/Libraries/LibGateway/ServerRoster.h
+++ b/Libraries/LibGateway/ServerRoster.h
@@ -19,19 +19,19 @@
     static constexpr Core::Milliseconds s_settling_time {2'000};
 
     /// A whole list takes the place of what was known.
-    void take_list(std::vector<Entry::ServerEntry>, Entry::ListRevision, Core::MonotonicTime now);
+    void apply_list(std::vector<Entry::ServerEntry>, Entry::ListRevision, Core::MonotonicTime now);
     /// What a peer knew while the store was away from here, if it is newer: what the peer knows as gone is not waited
     /// for.
     void adopt(Entry::ServerList const&);
-    void take_change(Entry::ServerEntry);
-    void take_removal(std::string const& instance, Core::MonotonicTime now);
+    void apply_entry(Entry::ServerEntry);
+    void apply_removal(std::string const& instance, Core::MonotonicTime now);
     [[nodiscard]] Entry::ListRevision revision() const { return m_revision; }
     void set_revision(Entry::ListRevision revision) { m_revision = revision; }
 
     /// The store gave no answer.
     void note_store_lost() { m_is_store_lost = true; }
     /// The store answers; after it was lost, the settling time begins.
-    void note_store_answers(Core::MonotonicTime now);
+    void note_store_available(Core::MonotonicTime now);
     /// Drops what is still missing when the settling time is over, and says whether anything was dropped.
     bool settle(Core::MonotonicTime now);
     /// When settle() has something to do; nothing when it has not.
--- a/Tests/LibGateway/ServerRosterTest.cpp
+++ b/Tests/LibGateway/ServerRosterTest.cpp
@@ -31,8 +31,8 @@
 TEST(ServerRoster, DropsAtOnceWhileTheStoreIsThere)
 {
     ServerRoster roster;
-    roster.take_list({server("a"), server("b")}, Entry::ListRevision(1), s_start);
-    roster.take_removal("a", s_start);
+    roster.apply_list({server("a"), server("b")}, Entry::ListRevision(1), s_start);
+    roster.apply_removal("a", s_start);
     EXPECT_FALSE(has(roster, "a"));
     EXPECT_FALSE(roster.list().is_provisional);
 }
@@ -46,24 +46,24 @@
         return entry;
     };
     ServerRoster roster;
-    roster.take_change(of_life(2'000, 8));
-    roster.take_change(of_life(1'000, 4));
+    roster.apply_entry(of_life(2'000, 8));
+    roster.apply_entry(of_life(1'000, 4));
     EXPECT_EQ(roster.list().servers.front().slots, 8U);
-    roster.take_change(of_life(3'000, 16));
+    roster.apply_entry(of_life(3'000, 16));
     EXPECT_EQ(roster.list().servers.front().slots, 16U);
 }
 
 TEST(ServerRoster, WaitsForWhatLapsedWhileTheStoreWasAway)
 {
     ServerRoster roster;
-    roster.take_list({server("a"), server("b")}, Entry::ListRevision(1), s_start);
+    roster.apply_list({server("a"), server("b")}, Entry::ListRevision(1), s_start);
     roster.note_store_lost();
     auto const back = s_start + 5s;
-    roster.note_store_answers(back);
-    roster.take_list({}, Entry::ListRevision(5), back);
+    roster.note_store_available(back);
+    roster.apply_list({}, Entry::ListRevision(5), back);
     EXPECT_TRUE(has(roster, "a"));
     EXPECT_TRUE(roster.list().is_provisional);
-    roster.take_change(server("a"));
+    roster.apply_entry(server("a"));
     EXPECT_FALSE(roster.settle(back + 1s));
     EXPECT_TRUE(has(roster, "b"));
     EXPECT_TRUE(roster.settle(back + 2s));
@@ -77,24 +77,24 @@
     ServerRoster roster;
     auto leaving = server("a");
     leaving.state = Table::BackendServerState::Leaving;
-    roster.take_list({leaving}, Entry::ListRevision(1), s_start);
+    roster.apply_list({leaving}, Entry::ListRevision(1), s_start);
     roster.note_store_lost();
-    roster.note_store_answers(s_start + 5s);
-    roster.take_list({}, Entry::ListRevision(5), s_start + 5s);
+    roster.note_store_available(s_start + 5s);
+    roster.apply_list({}, Entry::ListRevision(5), s_start + 5s);
     EXPECT_FALSE(has(roster, "a"));
 }
 
 TEST(ServerRoster, BelievesAPeerThatSawAServerGo)
 {
     ServerRoster roster;
-    roster.take_list({server("a"), server("b")}, Entry::ListRevision(1), s_start);
+    roster.apply_list({server("a"), server("b")}, Entry::ListRevision(1), s_start);
     roster.note_store_lost();
     Entry::ServerList peers;
     peers.revision = Entry::ListRevision(4);
     peers.servers = {server("b")};
     roster.adopt(peers);
-    roster.note_store_answers(s_start + 5s);
-    roster.take_list({server("b")}, Entry::ListRevision(5), s_start + 5s);
+    roster.note_store_available(s_start + 5s);
+    roster.apply_list({server("b")}, Entry::ListRevision(5), s_start + 5s);
     EXPECT_FALSE(has(roster, "a"));
 }
 
