--- a/Libraries/LibGateway/BackendFleet.cpp
+++ b/Libraries/LibGateway/BackendFleet.cpp
@@ -115,7 +115,7 @@
         m_services[name] = service;
     for (auto& [instance, view] : m_servers)
         view->prefixes().set_capacity(m_services[view->record().service].memory_tokens);
-    m_regions.follow(table);
+    m_regions.apply(table);
     m_policy.follow(table);
 }
 
@@ -229,7 +229,7 @@
 std::vector<std::shared_ptr<BackendView>> BackendFleet::servers_for(GatewayCall const& call) const
 {
     std::vector<std::shared_ptr<BackendView>> servers;
-    bool const is_restricted = m_regions.binds(call);
+    bool const is_restricted = m_regions.restricts(call);
     for (auto const& [instance, view] : m_servers) {
         if (view->record().service != call.service || !view->accepts_new_requests())
             continue;
--- a/Libraries/LibGateway/RegionRules.h
+++ b/Libraries/LibGateway/RegionRules.h
@@ -21,22 +21,22 @@
     {
     }
 
-    void follow(Table::Table const&);
+    void apply(Table::Table const&);
 
     /// Whether the request is bound to regions at all.
-    [[nodiscard]] bool binds(GatewayCall const&) const;
+    [[nodiscard]] bool restricts(GatewayCall const&) const;
     /// Whether the request may be served in that failure domain.
     [[nodiscard]] bool allows(GatewayCall const&, std::string const& failure_domain) const;
 
 private:
-    using Allowed = std::map<std::string, std::set<std::string>>;
+    using RegionsByName = std::map<std::string, std::set<std::string>>;
 
-    [[nodiscard]] static std::set<std::string> const* find(Allowed const&, std::string const& name);
+    [[nodiscard]] static std::set<std::string> const* find(RegionsByName const&, std::string const& name);
 
     std::map<std::string, std::string> m_regions;
     /// Regions by route and by workspace, for those that are bound.
-    Allowed m_by_route;
-    Allowed m_by_workspace;
+    RegionsByName m_by_route;
+    RegionsByName m_by_workspace;
 };
 
 }
