--- a/Libraries/LibGateway/CrashSharing.h
+++ b/Libraries/LibGateway/CrashSharing.h
@@ -18,10 +18,10 @@
     {
     }
 
-    [[nodiscard]] bool has_news(Core::MonotonicTime now) const { return m_ledger.has_news(now); }
+    [[nodiscard]] bool has_due_reports(Core::MonotonicTime now) const { return m_ledger.has_news(now); }
     [[nodiscard]] static bool is_within_bounds(Message const&);
     void fill(Message&, Core::MonotonicTime now);
-    void take(Message const&, Policy::CrashLedger::Relaying, Core::MonotonicTime now);
+    void receive(Message const&, Policy::CrashLedger::Relaying, Core::MonotonicTime now);
 
 private:
     Policy::CrashLedger& m_ledger;
--- a/Libraries/LibGateway/DutySharing.h
+++ b/Libraries/LibGateway/DutySharing.h
@@ -24,16 +24,16 @@
     [[nodiscard]] static bool is_within_bounds(granitefield::protocol::RelayedLoad const&);
 
     void fill_report(granitefield::protocol::GatewayLoad&, Cluster::WallTime own_clock, Core::MonotonicTime now);
-    void take_report(granitefield::protocol::GatewayLoad const&, Core::MonotonicTime now);
+    void receive_report(granitefield::protocol::GatewayLoad const&, Core::MonotonicTime now);
 
     enum class Sender {
         OwnRelay,
         Other,
     };
-    void fill_part(granitefield::protocol::RelayedLoad&, Core::MonotonicTime now);
+    void fill_relayed(granitefield::protocol::RelayedLoad&, Core::MonotonicTime now);
     /// Adds all that is known; for gateways that have just begun, of which one may soon hold the duty.
-    void fill_everything(granitefield::protocol::RelayedLoad&);
-    void take_part(granitefield::protocol::RelayedLoad const&, Sender, Core::MonotonicTime now);
+    void fill_all(granitefield::protocol::RelayedLoad&);
+    void receive_relayed(granitefield::protocol::RelayedLoad const&, Sender, Core::MonotonicTime now);
 
 private:
     Cluster::SharedDuty& m_duty;
--- a/Libraries/LibGateway/LoadSharing.cpp
+++ b/Libraries/LibGateway/LoadSharing.cpp
@@ -92,9 +92,9 @@
     std::uint64_t self, BackendFleet& fleet, CrashSharing crashes, DutySharing* duties, Core::MonotonicTime started)
     : m_self(self)
     , m_fleet(fleet)
-    , m_crashes(crashes)
-    , m_signals(fleet)
-    , m_duties(duties)
+    , m_crash_sharing(crashes)
+    , m_signal_sharing(fleet)
+    , m_duty_sharing(duties)
     , m_election(started)
     , m_reporter_loads(fleet)
     , m_relay_loads(fleet)
@@ -171,10 +171,10 @@
     if (report.sender() == m_self)
         return;
     m_received_store_report.merge(read_store_report(report.store(), now - waited));
-    if (m_duties != nullptr)
-        m_duties->take_report(report, now);
-    m_crashes.take(report.crashes(), Policy::CrashLedger::Relaying::Yes, now);
-    m_signals.take(report.signals(), Policy::Relaying::Yes, now);
+    if (m_duty_sharing != nullptr)
+        m_duty_sharing->receive_report(report, now);
+    m_crash_sharing.receive(report.crashes(), Policy::CrashLedger::Relaying::Yes, now);
+    m_signal_sharing.receive(report.signals(), Policy::Relaying::Yes, now);
     m_has_new_reporter = m_has_new_reporter || m_aggregator.last_sequence_of(report.sender()) == 0;
     bool const has_gap = m_aggregator.last_sequence_of(report.sender()) + 1 < report.sequence();
     auto loads = read_loads(report.servers());
@@ -215,11 +215,11 @@
     if (part.relay() == m_self)
         return;
     m_received_store_report.merge(read_store_report(part.store(), now - waited));
-    if (m_duties != nullptr)
-        m_duties->take_part(
+    if (m_duty_sharing != nullptr)
+        m_duty_sharing->receive_relayed(
             part, is_from_own_relay(part) ? DutySharing::Sender::OwnRelay : DutySharing::Sender::Other, now);
-    m_crashes.take(part.crashes(), Policy::CrashLedger::Relaying::No, now);
-    m_signals.take(part.signals(), Policy::Relaying::No, now);
+    m_crash_sharing.receive(part.crashes(), Policy::CrashLedger::Relaying::No, now);
+    m_signal_sharing.receive(part.signals(), Policy::Relaying::No, now);
     auto loads = read_loads(part.servers());
     subtract_own_load(part, loads);
     if (!m_relay_loads.apply(part.relay(), part.sequence(), LoadSources::ReportKind::Delta, loads, now))
@@ -328,8 +328,8 @@
 
 std::vector<OutgoingDatagram> LoadSharing::tick(Cluster::WallTime own_clock, Core::MonotonicTime now)
 {
-    if (m_duties != nullptr)
-        m_duties->duty().turn(own_clock, now);
+    if (m_duty_sharing != nullptr)
+        m_duty_sharing->duty().turn(own_clock, now);
     m_failure_detector.remove_expired(now);
     m_relay_loads.remove_silent(now, s_relay_expiry, s_entry_expiry);
     for (auto const gateway : m_aggregator.remove_silent(now))
@@ -365,10 +365,10 @@
     auto& report = *datagram.mutable_report();
     report.set_sender(m_self);
     write_store_report(*report.mutable_store(), m_store_report, now);
-    if (m_duties != nullptr)
-        m_duties->fill_report(report, own_clock, now);
-    m_crashes.fill(*report.mutable_crashes(), now);
-    m_signals.fill(*report.mutable_signals(), now);
+    if (m_duty_sharing != nullptr)
+        m_duty_sharing->fill_report(report, own_clock, now);
+    m_crash_sharing.fill(*report.mutable_crashes(), now);
+    m_signal_sharing.fill(*report.mutable_signals(), now);
     for (auto const& [server, load] : loads) {
         if (report.servers_size() < static_cast<int>(s_max_servers))
             write_load(*report.add_servers(), server, load);
@@ -427,10 +427,10 @@
     part.set_relay(m_self);
     part.set_sequence(++m_relay_sequence);
     write_store_report(*part.mutable_store(), m_store_report, now);
-    if (m_duties != nullptr)
-        m_duties->fill_part(part, now);
-    m_crashes.fill(*part.mutable_crashes(), now);
-    m_signals.fill(*part.mutable_signals(), now);
+    if (m_duty_sharing != nullptr)
+        m_duty_sharing->fill_relayed(part, now);
+    m_crash_sharing.fill(*part.mutable_crashes(), now);
+    m_signal_sharing.fill(*part.mutable_signals(), now);
     for (auto const& [server, load] : loads) {
         if (part.servers_size() < static_cast<int>(s_max_servers))
             write_load(*part.add_servers(), server, load);
@@ -462,9 +462,9 @@
         outgoing.push_back({std::move(address), bytes});
 
     if (std::exchange(m_has_new_reporter, false)) {
-        if (m_duties != nullptr)
-            m_duties->fill_everything(part);
-        m_signals.fill_everything(*part.mutable_signals(), now);
+        if (m_duty_sharing != nullptr)
+            m_duty_sharing->fill_all(part);
+        m_signal_sharing.fill_all(*part.mutable_signals(), now);
     }
     Datagram to_reporters;
     for (auto const& [gateway, report] : m_aggregator.reports()) {
--- a/Libraries/LibGateway/LoadSharing.h
+++ b/Libraries/LibGateway/LoadSharing.h
@@ -140,9 +140,9 @@
     /// What goes with the next datagram and can't wait.
     [[nodiscard]] bool has_urgent_reports(Core::MonotonicTime now) const
     {
-        return has_duty_changes() || m_crashes.has_news(now) || m_signals.has_due_reports(now);
+        return has_duty_changes() || m_crash_sharing.has_due_reports(now) || m_signal_sharing.has_due_reports(now);
     }
-    [[nodiscard]] bool has_duty_changes() const { return m_duties != nullptr && m_duties->has_changes(); }
+    [[nodiscard]] bool has_duty_changes() const { return m_duty_sharing != nullptr && m_duty_sharing->has_changes(); }
     void send_report(
         std::string const& relay, std::vector<OutgoingDatagram>&, Cluster::WallTime own_clock, Core::MonotonicTime now);
     void add_own_report(Core::MonotonicTime now);
@@ -152,9 +152,9 @@
 
     std::uint64_t m_self;
     BackendFleet& m_fleet;
-    CrashSharing m_crashes;
-    SignalSharing m_signals;
-    DutySharing* m_duties;
+    CrashSharing m_crash_sharing;
+    SignalSharing m_signal_sharing;
+    DutySharing* m_duty_sharing;
     /// A gateway that was not known reports here.
     bool m_has_new_reporter {false};
     RelayElection m_election;
--- a/Libraries/LibGateway/SignalSharing.cpp
+++ b/Libraries/LibGateway/SignalSharing.cpp
@@ -13,7 +13,7 @@
 using Policy::LeavingFacts;
 using Policy::RateLimitFacts;
 
-bool is_sound(granitefield::protocol::RateLimitReport const& message)
+bool is_valid(granitefield::protocol::RateLimitReport const& message)
 {
     return std::isfinite(message.rate()) && message.rate() >= 0;
 }
@@ -65,9 +65,9 @@
 bool SignalSharing::is_within_bounds(Message const& message)
 {
     // A newcomer gets all facts along with the due reports.
-    constexpr auto most = static_cast<int>(2 * Policy::s_most_reports);
-    return message.rate_limits_size() <= most && message.leaving_size() <= most
-        && std::ranges::all_of(message.rate_limits(), is_sound);
+    constexpr auto max_count = static_cast<int>(2 * Policy::s_most_reports);
+    return message.rate_limits_size() <= max_count && message.leaving_size() <= max_count
+        && std::ranges::all_of(message.rate_limits(), is_valid);
 }
 
 void SignalSharing::fill(Message& message, Core::MonotonicTime now)
@@ -76,13 +76,13 @@
     write(message, m_fleet.leaving_facts().take_due_reports(now), now);
 }
 
-void SignalSharing::fill_everything(Message& message, Core::MonotonicTime now) const
+void SignalSharing::fill_all(Message& message, Core::MonotonicTime now) const
 {
     write(message, m_fleet.rate_limits().everything(), now);
     write(message, m_fleet.leaving_facts().everything(), now);
 }
 
-void SignalSharing::take(Message const& message, Policy::Relaying relaying, Core::MonotonicTime now)
+void SignalSharing::receive(Message const& message, Policy::Relaying relaying, Core::MonotonicTime now)
 {
     for (auto const& report : message.rate_limits())
         m_fleet.receive_report(read(report, now), relaying, now);
--- a/Libraries/LibGateway/SignalSharing.h
+++ b/Libraries/LibGateway/SignalSharing.h
@@ -24,8 +24,8 @@
     /// Adds the reports to send now.
     void fill(Message&, Core::MonotonicTime now);
     /// Adds all facts, for a gateway that has just started.
-    void fill_everything(Message&, Core::MonotonicTime now) const;
-    void take(Message const&, Policy::Relaying, Core::MonotonicTime now);
+    void fill_all(Message&, Core::MonotonicTime now) const;
+    void receive(Message const&, Policy::Relaying, Core::MonotonicTime now);
 
 private:
     BackendFleet& m_fleet;
--- a/Tests/LibGateway/SignalSharingTest.cpp
+++ b/Tests/LibGateway/SignalSharingTest.cpp
@@ -191,7 +191,7 @@
     node(0).fleet.rate_limits().note(server, fact, m_now);
     SignalSharing::Message message;
     SignalSharing(node(0).fleet).fill(message, m_now);
-    SignalSharing(node(1).fleet).take(message, Policy::Relaying::No, m_now);
+    SignalSharing(node(1).fleet).receive(message, Policy::Relaying::No, m_now);
     ASSERT_NE(node(1).fleet.rate_limits().find(server), nullptr);
     EXPECT_EQ(*node(1).fleet.rate_limits().find(server), fact);
 }
