--- a/Tests/LibGateway/BehindTest.cpp
+++ b/Tests/LibGateway/BehindTest.cpp
@@ -25,13 +25,13 @@
         start();
     }
 
-    void tell_of(unsigned version)
+    void report_version(unsigned version)
     {
         auto const now = Core::monotonic_now();
         m_duty.note_report({now, now, {Core::TableVersion(version), {}, {}}}, now);
     }
 
-    void put_in_force(unsigned version)
+    void apply_table(unsigned version)
     {
         auto table = Table::Table().with(m_change);
         table.set_version(Core::TableVersion(version));
@@ -44,37 +44,37 @@
 
 TEST_F(Behind, ARouteThatANewerTableMayHaveIsNotRefusedByTheOldOne)
 {
-    tell_of(2);
+    report_version(2);
     auto const caller = call(request("GET", "/added/"));
     add_route("added", {{"path-prefix", "/added/"}});
     // The request has come by the time the next one is answered.
     EXPECT_EQ(answer_of(request("GET", "/plain/")).status, 200);
-    put_in_force(2);
+    apply_table(2);
     EXPECT_EQ(caller->read_answer().status, 200);
 }
 
 TEST_F(Behind, AKeyThatANewerTableMayHaveIsNotRefusedByTheOldOne)
 {
-    tell_of(2);
+    report_version(2);
     auto const caller = call(request("GET", "/keyed/", "Authorization: Bearer added\r\n"));
     set(Table::SheetName::Workspaces, "added", {{"key-hash", Core::sha256_hex("added")}});
     EXPECT_EQ(answer_of(request("GET", "/plain/")).status, 200);
-    put_in_force(2);
+    apply_table(2);
     EXPECT_EQ(caller->read_answer().status, 200);
 }
 
 TEST_F(Behind, WhatTheNewerTableDoesNotHaveEitherIsRefusedByIt)
 {
-    tell_of(2);
+    report_version(2);
     auto const caller = call(request("GET", "/nowhere/"));
     EXPECT_EQ(answer_of(request("GET", "/plain/")).status, 200);
-    put_in_force(2);
+    apply_table(2);
     EXPECT_EQ(caller->read_answer().status, 404);
 }
 
 TEST_F(Behind, WhereTheNewerTableDoesNotComeTheCallerIsToldWhenToComeBack)
 {
-    tell_of(2);
+    report_version(2);
     auto const begun = Core::monotonic_now();
     auto const answer = answer_of(request("GET", "/added/"));
     EXPECT_EQ(answer.status, 503);
@@ -86,7 +86,7 @@
 TEST_F(Behind, WhoKnowsOfNothingNewerRefusesAtOnce)
 {
     EXPECT_EQ(answer_of(request("GET", "/nowhere/")).status, 404);
-    tell_of(1);
+    report_version(1);
     EXPECT_EQ(answer_of(request("GET", "/nowhere/")).status, 404);
 }
 
--- a/Tests/LibGateway/CrashRulesTest.cpp
+++ b/Tests/LibGateway/CrashRulesTest.cpp
@@ -30,10 +30,10 @@
 using namespace std::chrono_literals;
 
 /// Within it all gateways know what one of them knows.
-constexpr Core::Milliseconds s_contact_time {3'000};
+constexpr Core::Milliseconds s_propagation_time {3'000};
 /// How often a request may still reach engines when it has crashed three of them and the contact time has passed.
-constexpr std::size_t s_most_late_sends = 3;
-constexpr Core::Milliseconds s_time_down {300};
+constexpr std::size_t s_max_late_sends = 3;
+constexpr Core::Milliseconds s_restart_delay {300};
 
 /// Three gateways that know each other, before engines that crash when they begin a certain body.
 class CrashRules : public GatewayFixture {
@@ -45,7 +45,7 @@
         explicit Node(CrashRules& test)
             : duty(Core::Milliseconds(3'000), 0, test.m_table, test.m_servers, test.m_log, test.m_metrics)
             , gateway(test.m_settings, test.m_table, test.m_servers, membership, duty, test.m_log, test.m_metrics,
-                  nullptr, &test.m_kept)
+                  nullptr, &test.m_store_quarantine)
         {
         }
 
@@ -66,7 +66,7 @@
         publish_servers();
         for (std::size_t number = 0; number < s_gateways; ++number)
             m_nodes.push_back(std::make_unique<Node>(*this));
-        introduce();
+        connect_all();
         for (auto const& node : m_nodes)
             node->gateway.wake();
     }
@@ -81,7 +81,7 @@
         });
     }
 
-    void introduce()
+    void connect_all()
     {
         std::vector<Entry::LoadMember> members;
         for (std::size_t number = 0; number < s_gateways; ++number)
@@ -95,10 +95,10 @@
     }
 
     /// Asks the gateways in turn.
-    RawCaller::Answer ask(std::string const& body)
+    RawCaller::Answer send(std::string const& body)
     {
         restart_engines();
-        RawCaller caller(m_nodes[m_asked++ % s_gateways]->gateway.caller_port());
+        RawCaller caller(m_nodes[m_next_gateway++ % s_gateways]->gateway.caller_port());
         caller.write(request("POST", "/asked/case", Core::concat("Authorization: Bearer ", s_key, "\r\n"), body));
         return caller.read_answer();
     }
@@ -107,7 +107,7 @@
     {
         for (auto const& backend : m_backends) {
             auto const crashed = backend->crashed();
-            if (crashed && Core::elapsed(*crashed, Core::monotonic_now()) >= s_time_down)
+            if (crashed && Core::elapsed(*crashed, Core::monotonic_now()) >= s_restart_delay)
                 backend->restart();
         }
     }
@@ -123,41 +123,41 @@
     }
 
     /// Its caller asks again and again until the gateways have had their time to know of three crashes.
-    void crash_three_and_wait()
+    void crash_three_engines_and_wait()
     {
         while (arrivals("deadly") < 3)
-            static_cast<void>(ask("deadly"));
-        auto const known_by = Core::monotonic_now() + s_contact_time;
-        while (Core::monotonic_now() < known_by) {
-            static_cast<void>(ask("deadly"));
-            std::this_thread::sleep_for(s_time_down / 10);
+            static_cast<void>(send("deadly"));
+        auto const propagated_at = Core::monotonic_now() + s_propagation_time;
+        while (Core::monotonic_now() < propagated_at) {
+            static_cast<void>(send("deadly"));
+            std::this_thread::sleep_for(s_restart_delay / 10);
         }
     }
 
     /// What the store had when the gateways began; the first one that looks takes it.
-    Cluster::SharedQuarantine m_kept;
+    Cluster::SharedQuarantine m_store_quarantine;
     std::vector<std::unique_ptr<Node>> m_nodes;
-    std::size_t m_asked {0};
+    std::size_t m_next_gateway {0};
 };
 
 }
 
 TEST_F(CrashRules, ARequestThatHasCrashedThreeEnginesReachesThreeMoreAtMost)
 {
-    crash_three_and_wait();
+    crash_three_engines_and_wait();
     auto const before = arrivals("deadly");
-    constexpr int asked = 40;
-    for (int count = 0; count < asked; ++count) {
-        auto const answer = ask("deadly");
+    constexpr int request_count = 40;
+    for (int count = 0; count < request_count; ++count) {
+        auto const answer = send("deadly");
         // It has run, so that nothing may say that it has not, and it is not invited to come again.
         EXPECT_GE(answer.status, 500);
         EXPECT_NE(answer.status, 503);
         EXPECT_FALSE(field_of(answer.head, "Retry-After"));
     }
-    EXPECT_LE(arrivals("deadly") - before, s_most_late_sends);
+    EXPECT_LE(arrivals("deadly") - before, s_max_late_sends);
     // Whoever asks otherwise is served, the same caller at the same path among them.
     restart_engines();
-    EXPECT_TRUE(ask("harmless").is_whole);
+    EXPECT_TRUE(send("harmless").is_whole);
     EXPECT_EQ(arrivals("harmless"), 1U);
 }
 
@@ -173,7 +173,7 @@
     m_servers_list.servers.erase(m_servers_list.servers.begin(), m_servers_list.servers.end() - 1);
     publish_servers();
     for (int count = 0; count < 12; ++count)
-        EXPECT_FALSE(ask("unlucky").is_whole);
+        EXPECT_FALSE(send("unlucky").is_whole);
     EXPECT_EQ(m_backends.back()->count(), 12U);
     EXPECT_EQ(counter("granitefield_gateway_crash_witnesses_total"), 0U);
 }
@@ -207,8 +207,8 @@
     m_servers_list.servers.front() = m_backends.front()->entry();
     publish_servers();
     m_nodes[0]->gateway.wake();
-    m_asked = 0;
-    EXPECT_FALSE(ask("deadly").is_whole);
+    m_next_gateway = 0;
+    EXPECT_FALSE(send("deadly").is_whole);
     while (counter("granitefield_gateway_crash_witnesses_total") == 0)
         std::this_thread::yield();
     EXPECT_EQ(counter("granitefield_gateway_crash_witnesses_total"), 1U);
@@ -217,11 +217,11 @@
 // What died beside such a request goes on elsewhere, and is not held with it.
 TEST_F(CrashRules, WhatRanBesideItIsServed)
 {
-    crash_three_and_wait();
+    crash_three_engines_and_wait();
     EXPECT_EQ(counter("granitefield_gateway_quarantines_total"), s_gateways);
     for (int count = 0; count < 20; ++count) {
-        EXPECT_GE(ask("deadly").status, 500);
-        EXPECT_TRUE(ask(Core::concat("harmless-", count)).is_whole);
+        EXPECT_GE(send("deadly").status, 500);
+        EXPECT_TRUE(send(Core::concat("harmless-", count)).is_whole);
     }
     EXPECT_GE(counter("granitefield_gateway_held_back_total"), 20U);
 }
@@ -230,32 +230,32 @@
 TEST_F(CrashRules, WhatTheStoreHasKeptReachesNoServer)
 {
     auto const digest = Core::RequestDigest::of("/asked/case", "ws", "deadly");
-    m_kept.add_loaded({digest});
-    auto const is_held_at
+    m_store_quarantine.add_loaded({digest});
+    auto const is_quarantined_at
         = [&](auto const& node) { return node->gateway.status().find(digest.to_string()) != std::string::npos; };
-    while (!std::ranges::all_of(m_nodes, is_held_at))
+    while (!std::ranges::all_of(m_nodes, is_quarantined_at))
         std::this_thread::yield();
     for (std::size_t count = 0; count < s_gateways; ++count)
-        EXPECT_EQ(ask("deadly").status, 502);
+        EXPECT_EQ(send("deadly").status, 502);
     EXPECT_EQ(arrivals("deadly"), 0U);
-    EXPECT_TRUE(ask("harmless").is_whole);
+    EXPECT_TRUE(send("harmless").is_whole);
 }
 
 // An operator lets one go, at any gateway.
 TEST_F(CrashRules, WhatAnOperatorReleasesReachesServersAgain)
 {
-    crash_three_and_wait();
+    crash_three_engines_and_wait();
     auto const digest = Core::RequestDigest::of("/asked/case", "ws", "deadly");
     auto const text = digest.to_string();
-    auto const is_held_at = [&](auto& node) { return node.gateway.status().find(text) != std::string::npos; };
+    auto const is_quarantined_at = [&](auto& node) { return node.gateway.status().find(text) != std::string::npos; };
     for (auto const& node : m_nodes)
-        ASSERT_TRUE(is_held_at(*node));
+        ASSERT_TRUE(is_quarantined_at(*node));
     EXPECT_TRUE(m_nodes[1]->gateway.release(digest));
     EXPECT_FALSE(m_nodes[1]->gateway.release(Core::RequestDigest::of("/asked/case", "ws", "harmless")));
-    while (std::ranges::any_of(m_nodes, [&](auto const& node) { return is_held_at(*node); }))
+    while (std::ranges::any_of(m_nodes, [&](auto const& node) { return is_quarantined_at(*node); }))
         std::this_thread::yield();
     auto const before = arrivals("deadly");
-    static_cast<void>(ask("deadly"));
+    static_cast<void>(send("deadly"));
     EXPECT_GT(arrivals("deadly"), before);
 }
 
--- a/Tests/LibGateway/CrashSharingTest.cpp
+++ b/Tests/LibGateway/CrashSharingTest.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr Core::Milliseconds s_contact_time {3'000};
+constexpr Core::Milliseconds s_propagation_time {3'000};
 
 class CrashFleet : public LoadFleet {
 protected:
@@ -18,12 +18,13 @@
     /// A server crashes, and that gateway had sent it the request.
     void crash_at(std::size_t gateway)
     {
-        ++m_lives;
-        node(gateway).crashes.note_crash({deadly(), {m_lives, m_lives, 1}, Policy::Exposure::Fresh, m_now}, m_now);
+        ++m_last_life;
+        node(gateway).crashes.note_crash(
+            {deadly(), {m_last_life, m_last_life, 1}, Policy::Exposure::Fresh, m_now}, m_now);
     }
 
     /// Gateways that would still send the request to a server.
-    [[nodiscard]] std::vector<std::string> unaware()
+    [[nodiscard]] std::vector<std::string> gateways_without_quarantine()
     {
         std::vector<std::string> names;
         for (auto const& node : m_nodes) {
@@ -38,13 +39,13 @@
     {
         auto const address = node(number).address;
         m_nodes.at(number) = make_node(number);
-        introduce();
+        connect_all();
     }
 
-    std::uint64_t m_lives {0};
+    std::uint64_t m_last_life {0};
 };
 
-using Nobody = std::vector<std::string>;
+using NoGateways = std::vector<std::string>;
 
 }
 
@@ -52,10 +53,10 @@
 {
     for (std::size_t gateway : {3U, 7U, 11U}) {
         crash_at(gateway);
-        play(300ms);
+        advance(300ms);
     }
-    play(s_contact_time - 300ms);
-    EXPECT_EQ(unaware(), Nobody());
+    advance(s_propagation_time - 300ms);
+    EXPECT_EQ(gateways_without_quarantine(), NoGateways());
 }
 
 TEST_F(CrashFleet, AllKnowThoughThreeDatagramsInTenAreLost)
@@ -63,22 +64,22 @@
     m_loss = 0.3;
     for (std::size_t gateway : {3U, 7U, 11U}) {
         crash_at(gateway);
-        play(300ms);
+        advance(300ms);
     }
-    play(s_contact_time - 300ms);
-    EXPECT_EQ(unaware(), Nobody());
+    advance(s_propagation_time - 300ms);
+    EXPECT_EQ(gateways_without_quarantine(), NoGateways());
 }
 
 TEST_F(CrashFleet, AllKnowThoughTheRelayOfWhoSawItIsKilled)
 {
     for (std::size_t gateway : {3U, 6U, 9U}) {
         crash_at(gateway);
-        play(100ms);
+        advance(100ms);
     }
     // The relay of that failure domain.
     node(0).is_alive = false;
-    play(s_contact_time);
-    EXPECT_EQ(unaware(), Nobody());
+    advance(s_propagation_time);
+    EXPECT_EQ(gateways_without_quarantine(), NoGateways());
 }
 
 TEST_F(CrashFleet, AllKnowThoughWhoSawItIsKilledRightAfter)
@@ -86,38 +87,38 @@
     for (std::size_t gateway : {3U, 7U, 11U}) {
         crash_at(gateway);
         // It has told its relay by then, once.
-        play(LoadSharing::s_interval + s_step);
+        advance(LoadSharing::s_interval + s_step);
         node(gateway).is_alive = false;
     }
-    play(s_contact_time);
-    EXPECT_EQ(unaware(), Nobody());
+    advance(s_propagation_time);
+    EXPECT_EQ(gateways_without_quarantine(), NoGateways());
 }
 
 TEST_F(CrashFleet, WhoBeginsLaterHearsOfIt)
 {
     for (std::size_t gateway : {3U, 7U, 11U}) {
         crash_at(gateway);
-        play(300ms);
+        advance(300ms);
     }
-    play(s_contact_time);
+    advance(s_propagation_time);
     restart(5);
     restart(0);
-    EXPECT_EQ(unaware().size(), 2U);
-    play(s_contact_time);
-    EXPECT_EQ(unaware(), Nobody());
+    EXPECT_EQ(gateways_without_quarantine().size(), 2U);
+    advance(s_propagation_time);
+    EXPECT_EQ(gateways_without_quarantine(), NoGateways());
 }
 
 TEST_F(CrashFleet, AGoodEndAnywhereFreesItEverywhere)
 {
     for (std::size_t gateway : {3U, 7U, 11U}) {
         crash_at(gateway);
-        play(300ms);
+        advance(300ms);
     }
-    play(s_contact_time);
-    ASSERT_EQ(unaware(), Nobody());
+    advance(s_propagation_time);
+    ASSERT_EQ(gateways_without_quarantine(), NoGateways());
     node(8).crashes.note_good_end(deadly(), m_now);
-    play(s_contact_time);
-    EXPECT_EQ(unaware().size(), s_count);
+    advance(s_propagation_time);
+    EXPECT_EQ(gateways_without_quarantine().size(), s_count);
     EXPECT_TRUE(node(4).crashes.is_empty());
 }
 
@@ -127,24 +128,23 @@
 RC_GTEST_FIXTURE_PROP(CrashFleet, AllKnowWhateverHappensToTheFleet, (unsigned seed))
 {
     std::mt19937 random(seed);
-    auto const draw
-        = [&random](std::size_t most) { return std::uniform_int_distribution<std::size_t>(0, most)(random); };
+    auto const draw = [&random](std::size_t max) { return std::uniform_int_distribution<std::size_t>(0, max)(random); };
     m_loss = static_cast<double>(draw(30)) / 100;
     auto const crashes = 3 + draw(5);
     for (std::size_t count = 0; count < crashes; ++count) {
         crash_at(draw(s_count - 1));
-        play(Core::Milliseconds(100 * draw(5)));
+        advance(Core::Milliseconds(100 * draw(5)));
     }
     // The last one has been told by then.
-    play(300ms);
+    advance(300ms);
     if (draw(1) == 1) {
         for (std::size_t number = 0; number < s_count / 2; ++number)
             node(draw(s_count - 1)).is_alive = false;
     }
     for (std::size_t number = 0; number < draw(2); ++number)
         restart(draw(s_count - 1));
-    play(s_contact_time);
-    RC_ASSERT(unaware() == Nobody());
+    advance(s_propagation_time);
+    RC_ASSERT(gateways_without_quarantine() == NoGateways());
 }
 
 }
--- a/Tests/LibGateway/DrainRulesTest.cpp
+++ b/Tests/LibGateway/DrainRulesTest.cpp
@@ -37,7 +37,7 @@
     }
 
     /// Sends so many requests and gives the statuses other than 200.
-    std::vector<int> failures_of(int count, std::string const& target)
+    std::vector<int> failed_statuses(int count, std::string const& target)
     {
         std::vector<int> failures;
         for (int number = 0; number < count; ++number) {
@@ -49,12 +49,9 @@
     }
 
     /// Servers bear one request a second while they are cold, and are for a minute.
-    void let_engines_be_cold_after_a_start()
-    {
-        set(Table::SheetName::Services, "svc", {{"cold-time", "60s"}, {"cold-rate", "60"}});
-    }
+    void configure_cold_start() { set(Table::SheetName::Services, "svc", {{"cold-time", "60s"}, {"cold-rate", "60"}}); }
 
-    void get_to_know_the_other_gateways()
+    void set_known_membership()
     {
         m_membership.set_load_members({});
         m_membership.is_acquainted = true;
@@ -63,7 +60,7 @@
     Entry::SharedDrains m_drains;
 };
 
-constexpr int s_many = 20;
+constexpr int s_request_count = 20;
 
 }
 
@@ -73,12 +70,12 @@
     auto const& there = add_good_backend("i-2", "there");
     start_with_drains();
     drain({"here"});
-    EXPECT_TRUE(failures_of(s_many, "/safe/").empty());
+    EXPECT_TRUE(failed_statuses(s_request_count, "/safe/").empty());
     EXPECT_EQ(here.count(), 0U);
-    EXPECT_EQ(there.count(), static_cast<std::size_t>(s_many));
+    EXPECT_EQ(there.count(), static_cast<std::size_t>(s_request_count));
     drain({"there"});
-    EXPECT_TRUE(failures_of(s_many, "/safe/").empty());
-    EXPECT_EQ(here.count(), static_cast<std::size_t>(s_many));
+    EXPECT_TRUE(failed_statuses(s_request_count, "/safe/").empty());
+    EXPECT_EQ(here.count(), static_cast<std::size_t>(s_request_count));
 }
 
 TEST_F(DrainRules, WhereAllDomainsAreDrainedRequestsAreRefusedAtOnceAsNotRun)
@@ -103,45 +100,45 @@
     drain({"here"});
     auto const& late = add_good_backend("i-2", "here");
     publish_servers();
-    EXPECT_TRUE(failures_of(s_many, "/safe/").empty());
+    EXPECT_TRUE(failed_statuses(s_request_count, "/safe/").empty());
     EXPECT_EQ(late.count(), 0U);
 }
 
 TEST_F(DrainRules, EnginesOfADomainThatIsTakenBackAreTakenForCold)
 {
-    let_engines_be_cold_after_a_start();
+    configure_cold_start();
     auto const& here = add_good_backend("i-1", "here");
     add_good_backend("i-2", "there");
-    get_to_know_the_other_gateways();
+    set_known_membership();
     start_with_drains();
     drain({"here"});
-    EXPECT_TRUE(failures_of(1, "/safe/").empty());
+    EXPECT_TRUE(failed_statuses(1, "/safe/").empty());
     drain({});
-    EXPECT_TRUE(failures_of(s_many, "/safe/").empty());
+    EXPECT_TRUE(failed_statuses(s_request_count, "/safe/").empty());
     EXPECT_LE(here.count(), 1U);
 }
 
 TEST_F(DrainRules, AnEngineThatSaysItIsColdGetsWhatItBears)
 {
-    let_engines_be_cold_after_a_start();
+    configure_cold_start();
     auto const& cold = add_good_backend("i-1", "here");
     m_servers_list.servers.back().cold_until = Core::monotonic_now() + Core::Milliseconds(60'000);
     auto const& warm = add_good_backend("i-2", "here");
-    get_to_know_the_other_gateways();
+    set_known_membership();
     start_with_drains();
-    EXPECT_TRUE(failures_of(s_many, "/safe/").empty());
+    EXPECT_TRUE(failed_statuses(s_request_count, "/safe/").empty());
     EXPECT_LE(cold.count(), 1U);
-    EXPECT_GE(warm.count(), static_cast<std::size_t>(s_many - 1));
+    EXPECT_GE(warm.count(), static_cast<std::size_t>(s_request_count - 1));
 }
 
 TEST_F(DrainRules, AGatewayThatDoesNotKnowTheOthersSendsNothingToAColdEngine)
 {
-    let_engines_be_cold_after_a_start();
+    configure_cold_start();
     auto const& cold = add_good_backend("i-1", "here");
     m_servers_list.servers.back().cold_until = Core::monotonic_now() + Core::Milliseconds(60'000);
     add_good_backend("i-2", "here");
     start_with_drains();
-    EXPECT_TRUE(failures_of(s_many, "/safe/").empty());
+    EXPECT_TRUE(failed_statuses(s_request_count, "/safe/").empty());
     EXPECT_EQ(cold.count(), 0U);
 }
 
@@ -151,9 +148,9 @@
     auto const& there = add_good_backend("i-2", "there");
     set(Table::SheetName::Routes, "safe", {{"regions", "south,west"}});
     start_with_drains();
-    EXPECT_TRUE(failures_of(s_many, "/safe/").empty());
+    EXPECT_TRUE(failed_statuses(s_request_count, "/safe/").empty());
     EXPECT_EQ(here.count(), 0U);
-    EXPECT_EQ(there.count(), static_cast<std::size_t>(s_many));
+    EXPECT_EQ(there.count(), static_cast<std::size_t>(s_request_count));
 }
 
 TEST_F(DrainRules, RouteAndWorkspaceBothBind)
@@ -164,9 +161,9 @@
     set(Table::SheetName::Workspaces, "ws", {{"regions", "north"}});
     start_with_drains();
     auto const keyed = request("GET", "/keyed/", std::string("Authorization: Bearer ") + s_key + "\r\n");
-    for (int number = 0; number < s_many; ++number)
+    for (int number = 0; number < s_request_count; ++number)
         EXPECT_EQ(answer_of(keyed).status, 200);
-    EXPECT_EQ(here.count(), static_cast<std::size_t>(s_many));
+    EXPECT_EQ(here.count(), static_cast<std::size_t>(s_request_count));
 }
 
 TEST_F(DrainRules, WhatIsAllowedInNoRegionWithServersIsRefusedWithTheReason)
--- a/Tests/LibGateway/LeavingRulesTest.cpp
+++ b/Tests/LibGateway/LeavingRulesTest.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-constexpr int s_many = 10;
+constexpr int s_request_count = 10;
 
-std::string leaving(std::string message)
+std::string with_leaving_field(std::string message)
 {
     message.insert(message.find("\r\n") + 2, "Granitefield-Leaving: 1\r\n");
     return message;
@@ -20,11 +20,12 @@
 protected:
     FakeBackend& add_leaving_backend(std::string const& instance)
     {
-        return add_backend(instance,
-            [](auto& connection, auto const& text, auto) { connection.write(leaving(answer_to(text, 200, "fine"))); });
+        return add_backend(instance, [](auto& connection, auto const& text, auto) {
+            connection.write(with_leaving_field(answer_to(text, 200, "fine")));
+        });
     }
 
-    [[nodiscard]] int ask() const { return answer_of(request("GET", "/safe/")).status; }
+    [[nodiscard]] int send() const { return answer_of(request("GET", "/safe/")).status; }
 };
 
 }
@@ -33,9 +34,9 @@
 {
     auto const& last = add_leaving_backend("i-1");
     start();
-    EXPECT_EQ(ask(), 200);
-    for (int number = 0; number < s_many; ++number)
-        EXPECT_EQ(ask(), 503);
+    EXPECT_EQ(send(), 200);
+    for (int number = 0; number < s_request_count; ++number)
+        EXPECT_EQ(send(), 503);
     EXPECT_EQ(last.count(), 1U);
 }
 
@@ -46,7 +47,7 @@
         "i-2", [](auto& connection, auto const& text, auto) { connection.write(answer_to(text, 200, "fine")); });
     start();
     while (last.count() == 0)
-        ASSERT_EQ(ask(), 200);
+        ASSERT_EQ(send(), 200);
     auto const with_both = m_servers_list.servers;
     m_servers_list.servers = {with_both.back()};
     // The gateway keeps its view of a server until the requests that went there are forgotten.
@@ -56,8 +57,8 @@
     }
     m_servers_list.servers = {with_both.front()};
     publish_servers();
-    for (int number = 0; number < s_many; ++number)
-        EXPECT_EQ(ask(), 503);
+    for (int number = 0; number < s_request_count; ++number)
+        EXPECT_EQ(send(), 503);
     EXPECT_EQ(last.count(), 1U);
 }
 
@@ -65,17 +66,17 @@
 {
     add_leaving_backend("i-1");
     start();
-    EXPECT_EQ(ask(), 200);
-    EXPECT_EQ(ask(), 503);
+    EXPECT_EQ(send(), 200);
+    EXPECT_EQ(send(), 503);
     m_servers_list.servers.front().instance = "i-1-next";
     publish_servers();
-    EXPECT_EQ(ask(), 200);
+    EXPECT_EQ(send(), 200);
 }
 
 TEST_F(LeavingRules, FinishesStreamsOfALeavingServer)
 {
     add_backend("i-1", [](auto& connection, auto const& text, auto) {
-        connection.write(leaving(stream_head_to(text)));
+        connection.write(with_leaving_field(stream_head_to(text)));
         connection.write(chunk(event(1)));
         connection.write(chunk(event(2)));
         connection.write("0\r\n\r\n");
@@ -89,23 +90,23 @@
 
 TEST_F(LeavingRules, RetriesElsewhereAfterARejection)
 {
-    auto const& last = add_backend(
-        "i-1", [](auto& connection, auto const& text, auto) { connection.write(leaving(refusal_to(text, 503))); });
+    auto const& last = add_backend("i-1",
+        [](auto& connection, auto const& text, auto) { connection.write(with_leaving_field(refusal_to(text, 503))); });
     add_backend(
         "i-2", [](auto& connection, auto const& text, auto) { connection.write(answer_to(text, 200, "fine")); });
     start();
-    for (int number = 0; number < s_many; ++number)
-        EXPECT_EQ(ask(), 200);
+    for (int number = 0; number < s_request_count; ++number)
+        EXPECT_EQ(send(), 200);
     EXPECT_LE(last.count(), 1U);
 }
 
 TEST_F(LeavingRules, IgnoresStatementsOfAnotherServerAtTheAddress)
 {
-    auto const& misdirected = add_backend(
-        "i-1", [](auto& connection, auto const& text, auto) { connection.write(leaving(refusal_to(text, 421))); });
+    auto const& misdirected = add_backend("i-1",
+        [](auto& connection, auto const& text, auto) { connection.write(with_leaving_field(refusal_to(text, 421))); });
     start();
-    EXPECT_EQ(ask(), 503);
-    EXPECT_EQ(ask(), 503);
+    EXPECT_EQ(send(), 503);
+    EXPECT_EQ(send(), 503);
     EXPECT_EQ(misdirected.count(), 2U);
 }
 
--- a/Tests/LibGateway/LoadFleet.h
+++ b/Tests/LibGateway/LoadFleet.h
@@ -24,18 +24,18 @@
 /// One way between two gateways.
 inline constexpr Core::Milliseconds s_latency {1};
 /// What every gateway knows has to be no older than this: three intervals, and the ways between.
-inline constexpr Core::Milliseconds s_knowledge_limit = LoadSharing::s_interval * 3 + s_step * 2;
+inline constexpr Core::Milliseconds s_max_propagation_time = LoadSharing::s_interval * 3 + s_step * 2;
 inline constexpr std::size_t s_groups = 3;
 
 /// One gateway of the fleet.
 struct Node {
     /// `life` counts the processes that this gateway has had before.
-    Node(std::size_t number, std::uint64_t life, Core::MonotonicTime begun)
+    Node(std::size_t number, std::uint64_t life, Core::MonotonicTime started)
         : address(Core::concat("10.0.0.", number, ":1"))
         , member {address, Core::concat("domain-", number % s_groups), number < s_groups ? 500U : 90U, number}
         , id(number + 1 + 1'000 * life)
-        , sharing(id, fleet, CrashSharing(crashes), nullptr, begun)
-        , next_turn(begun + s_step * static_cast<int>(id % 10))
+        , sharing(id, fleet, CrashSharing(crashes), nullptr, started)
+        , next_tick(started + s_step * static_cast<int>(id % 10))
     {
     }
 
@@ -57,7 +57,7 @@
     Policy::CrashLedger crashes;
     LoadSharing sharing;
     /// Gateways do not turn at the same moment.
-    Core::MonotonicTime next_turn;
+    Core::MonotonicTime next_tick;
 };
 
 /// Gateways of three failure domains before a few engines.
@@ -70,8 +70,8 @@
     {
         for (std::size_t number = 0; number < m_count; ++number)
             m_nodes.push_back(make_node(number));
-        introduce();
-        play(3s);
+        connect_all();
+        advance(3s);
     }
 
     std::unique_ptr<Node> make_node(std::size_t number)
@@ -80,13 +80,13 @@
         for (int engine = 0; engine < 6; ++engine)
             list.servers.push_back({Core::concat("i-", engine), "svc", *Core::Address::from_string("127.0.0.1:9"),
                 "here", 64, Table::BackendServerState::Serving});
-        auto node = std::make_unique<Node>(number, m_made++ / m_count, m_now);
+        auto node = std::make_unique<Node>(number, m_created_count++ / m_count, m_now);
         node->fleet.apply(list, s_start);
         return node;
     }
 
     /// All know each other.
-    void introduce()
+    void connect_all()
     {
         for (auto& node : m_nodes) {
             Entry::LoadMembers members {node->member, {}};
@@ -103,20 +103,20 @@
     static BackendView& view(Node& node, char const* instance) { return *node.fleet.all().at(instance); }
 
     /// Lets time pass.
-    void play(Core::Milliseconds duration)
+    void advance(Core::Milliseconds duration)
     {
         for (auto const end = m_now + duration; m_now < end; m_now += s_step) {
             deliver();
             for (auto& node : m_nodes)
-                turn(*node);
+                tick(*node);
         }
     }
 
-    void turn(Node& node)
+    void tick(Node& node)
     {
-        if (!node.is_alive || m_now < node.next_turn)
+        if (!node.is_alive || m_now < node.next_tick)
             return;
-        node.next_turn += LoadSharing::s_interval;
+        node.next_tick += LoadSharing::s_interval;
         node.crashes.turn(m_now);
         auto datagrams = node.sharing.tick({}, m_now);
         // Hash tables give another order in each process; which datagrams are lost must not depend on it.
@@ -125,16 +125,16 @@
             ++m_sent;
             m_bytes += outgoing.bytes->size();
             if (std::uniform_real_distribution<double>(0, 1)(m_generator) >= m_loss)
-                m_under_way.push_back({m_now + s_latency, node.address, outgoing});
+                m_in_flight.push_back({m_now + s_latency, node.address, outgoing});
         }
     }
 
     void deliver()
     {
         auto const arrived = std::stable_partition(
-            m_under_way.begin(), m_under_way.end(), [&](auto const& item) { return item.at > m_now; });
-        std::vector<UnderWay> const due(arrived, m_under_way.end());
-        m_under_way.erase(arrived, m_under_way.end());
+            m_in_flight.begin(), m_in_flight.end(), [&](auto const& item) { return item.at > m_now; });
+        std::vector<InFlight> const due(arrived, m_in_flight.end());
+        m_in_flight.erase(arrived, m_in_flight.end());
         for (auto const& item : due) {
             auto const target
                 = std::ranges::find(m_nodes, item.outgoing.address, [](auto const& node) { return node->address; });
@@ -147,7 +147,7 @@
     }
 
     /// The gateways that do not know what is open at the engine in truth.
-    [[nodiscard]] std::vector<std::string> mistaken(char const* instance)
+    [[nodiscard]] std::vector<std::string> gateways_with_wrong_load(char const* instance)
     {
         ServerLoad truth;
         for (auto const& node : m_nodes) {
@@ -168,7 +168,7 @@
             m_nodes, [](auto const& node) { return node->is_alive && node->sharing.is_relay(); }));
     }
 
-    struct UnderWay {
+    struct InFlight {
         Core::MonotonicTime at;
         std::string from;
         OutgoingDatagram outgoing;
@@ -176,11 +176,11 @@
 
     std::size_t m_count;
     std::vector<std::unique_ptr<Node>> m_nodes;
-    std::vector<UnderWay> m_under_way;
+    std::vector<InFlight> m_in_flight;
     Core::MonotonicTime m_now {s_start};
     double m_loss {0};
     std::mt19937 m_generator {20261202};
-    std::size_t m_made {0};
+    std::size_t m_created_count {0};
     std::size_t m_sent {0};
     std::size_t m_bytes {0};
 };
--- a/Tests/LibGateway/LoadSharingTest.cpp
+++ b/Tests/LibGateway/LoadSharingTest.cpp
@@ -51,14 +51,14 @@
 {
     for (std::size_t number = 0; number < s_count; ++number) {
         view(node(number), "i-3").begin_attempt({1, 5'000, 1});
-        play(s_knowledge_limit);
-        EXPECT_EQ(mistaken("i-3"), std::vector<std::string>()) << number;
+        advance(s_max_propagation_time);
+        EXPECT_EQ(gateways_with_wrong_load("i-3"), std::vector<std::string>()) << number;
     }
     for (std::size_t number = 0; number < s_count; ++number) {
         ServerLoad load {1, 5'000, 1};
         view(node(number), "i-3").end_attempt(load);
-        play(s_knowledge_limit);
-        EXPECT_EQ(mistaken("i-3"), std::vector<std::string>()) << number;
+        advance(s_max_propagation_time);
+        EXPECT_EQ(gateways_with_wrong_load("i-3"), std::vector<std::string>()) << number;
     }
 }
 
@@ -74,41 +74,41 @@
             server.begin_attempt(load);
         else
             server.end_attempt(load);
-        play(10ms);
+        advance(10ms);
     }
     m_loss = 0;
-    play(LoadSharing::s_entry_expiry + LoadSharing::s_refresh);
+    advance(LoadSharing::s_entry_expiry + LoadSharing::s_refresh);
     for (auto const* instance : {"i-0", "i-1", "i-2", "i-3", "i-4", "i-5"})
-        EXPECT_EQ(mistaken(instance), std::vector<std::string>()) << instance;
+        EXPECT_EQ(gateways_with_wrong_load(instance), std::vector<std::string>()) << instance;
 }
 
 TEST_F(LoadFleet, ReplacesADeadRelayAndForgetsWhatItHadOpen)
 {
     view(node(0), "i-1").begin_attempt({4, 0, 0});
-    play(s_knowledge_limit);
+    advance(s_max_propagation_time);
     node(0).is_alive = false;
-    play(RelayElection::s_silence_limit + LoadSharing::s_interval * 2);
+    advance(RelayElection::s_silence_limit + LoadSharing::s_interval * 2);
     // One of its failure domain begins something: it is known as soon as ever.
     view(node(3), "i-2").begin_attempt({1, 0, 0});
-    play(s_knowledge_limit);
-    EXPECT_EQ(mistaken("i-2"), std::vector<std::string>());
-    play(LoadAggregator::s_report_expiry);
-    EXPECT_EQ(mistaken("i-1"), std::vector<std::string>());
+    advance(s_max_propagation_time);
+    EXPECT_EQ(gateways_with_wrong_load("i-2"), std::vector<std::string>());
+    advance(LoadAggregator::s_report_expiry);
+    EXPECT_EQ(gateways_with_wrong_load("i-1"), std::vector<std::string>());
     EXPECT_EQ(count_relays(), s_groups);
 }
 
 TEST_F(LoadFleet, GoesBackToARelayThatIsThereAgain)
 {
     node(1).is_alive = false;
-    play(1s);
+    advance(1s);
     EXPECT_EQ(count_relays(), s_groups);
     node(1).is_alive = true;
-    play(RelayElection::s_initial_suspicion * 4);
+    advance(RelayElection::s_initial_suspicion * 4);
     EXPECT_EQ(count_relays(), s_groups);
     EXPECT_TRUE(node(1).sharing.is_relay());
     view(node(4), "i-2").begin_attempt({1, 0, 0});
-    play(s_knowledge_limit);
-    EXPECT_EQ(mistaken("i-2"), std::vector<std::string>());
+    advance(s_max_propagation_time);
+    EXPECT_EQ(gateways_with_wrong_load("i-2"), std::vector<std::string>());
 }
 
 TEST_F(LoadFleet, EveryGatewaySendsOneDatagramAnIntervalAtMostButTheRelays)
@@ -120,7 +120,7 @@
             view(*node, "i-0").begin_attempt({1, 10, 0});
             node->sharing.note_placement(view(*node, "i-0"), parts, 0);
         }
-        play(LoadSharing::s_interval);
+        advance(LoadSharing::s_interval);
     }
     // Nine report; three relays tell three reporters and two relays each.
     EXPECT_LE(m_sent, 21U * (9 + 3 * 5));
@@ -131,9 +131,9 @@
     std::vector<PromptPart> const parts {{9, 400}};
     node(4).sharing.note_placement(view(node(4), "i-5"), parts, 0);
     m_loss = 1;
-    play(LoadSharing::s_interval);
+    advance(LoadSharing::s_interval);
     m_loss = 0;
-    play(s_knowledge_limit);
+    advance(s_max_propagation_time);
     for (auto const& node : m_nodes) {
         if (node->id == this->node(4).id)
             continue;
@@ -144,14 +144,14 @@
 TEST_F(LoadFleet, LeavesADeadServerAloneAfterOneOfItsDomainFoundOut)
 {
     node(4).sharing.note_unreachable(view(node(4), "i-2"));
-    play(s_knowledge_limit);
+    advance(s_max_propagation_time);
     for (auto const& node : m_nodes) {
         bool const is_of_that_domain = node->member.group == this->node(4).member.group;
         // The others may reach it, and wait for a second domain's word.
         EXPECT_EQ(view(*node, "i-2").is_avoided(m_now), is_of_that_domain) << node->address;
     }
     node(3).sharing.note_unreachable(view(node(3), "i-2"));
-    play(s_knowledge_limit);
+    advance(s_max_propagation_time);
     for (auto const& node : m_nodes)
         EXPECT_TRUE(view(*node, "i-2").is_avoided(m_now)) << node->address;
 }
@@ -160,12 +160,12 @@
 {
     // One answer that breaks off says nothing of the others there.
     node(4).sharing.note_broken(view(node(4), "i-2"));
-    play(s_knowledge_limit);
+    advance(s_max_propagation_time);
     EXPECT_FALSE(view(node(4), "i-2").is_avoided(m_now));
-    play(FailureDetector::s_break_window);
+    advance(FailureDetector::s_break_window);
     node(4).sharing.note_broken(view(node(4), "i-3"));
     node(7).sharing.note_broken(view(node(7), "i-3"));
-    play(s_knowledge_limit);
+    advance(s_max_propagation_time);
     EXPECT_TRUE(view(node(10), "i-3").is_avoided(m_now));
 }
 
@@ -173,10 +173,10 @@
 {
     for (std::size_t const number : {3, 4})
         node(number).sharing.note_unreachable(view(node(number), "i-2"));
-    play(s_knowledge_limit);
+    advance(s_max_propagation_time);
     ASSERT_TRUE(view(node(10), "i-2").is_avoided(m_now));
     node(7).sharing.note_answering(view(node(7), "i-2"));
-    play(s_knowledge_limit);
+    advance(s_max_propagation_time);
     EXPECT_FALSE(view(node(10), "i-2").is_avoided(m_now));
 }
 
@@ -184,7 +184,7 @@
 {
     for (std::size_t const number : {3, 4, 5})
         node(number).sharing.note_unreachable(view(node(number), "i-2"));
-    play(s_knowledge_limit);
+    advance(s_max_propagation_time);
     std::size_t tries = 0;
     for (auto const end = m_now + 5s; m_now < end;) {
         for (auto const& node : m_nodes) {
@@ -195,7 +195,7 @@
             server.note_unreachable(s_count, m_now);
             node->sharing.note_unreachable(server);
         }
-        play(s_step);
+        advance(s_step);
     }
     // Five seconds hold about four times of being left alone: 250 ms, 500 ms, a second and two.
     EXPECT_LE(tries, 4U * 5U);
--- a/Tests/LibGateway/SignalSharingTest.cpp
+++ b/Tests/LibGateway/SignalSharingTest.cpp
@@ -32,7 +32,7 @@
     }
 
     /// Callers send so many requests a second in all, each to any gateway.
-    void play_requests(Core::Milliseconds duration, double per_second)
+    void advance_with_requests(Core::Milliseconds duration, double per_second)
     {
         std::uniform_int_distribution<std::size_t> any_gateway(0, s_gateways - 1);
         std::poisson_distribution<int> requests(per_second * std::chrono::duration<double>(s_step).count());
@@ -40,7 +40,7 @@
             for (int count = requests(m_generator); count > 0; --count)
                 send(any_gateway(m_generator));
             answer();
-            play(s_step);
+            advance(s_step);
         }
     }
 
@@ -51,7 +51,7 @@
     }
 
     /// Gateways that believe in a limit of the server.
-    [[nodiscard]] std::size_t believers()
+    [[nodiscard]] std::size_t gateways_with_limit()
     {
         return static_cast<std::size_t>(std::ranges::count_if(m_nodes,
             [&](auto const& node) { return node->fleet.rate_limit_of(view(*node, s_limited).id()).has_value(); }));
@@ -122,53 +122,53 @@
 TEST_F(RateLimitFleet, KeepsALimitThatOneGatewayReceived)
 {
     m_loss = 0.02;
-    play_requests(1s, 600);
+    advance_with_requests(1s, 600);
     state(0.5);
-    play_requests(15s, 600);
+    advance_with_requests(15s, 600);
     for (auto const& finding : m_judge.findings())
         ADD_FAILURE() << finding;
     EXPECT_GT(m_judge.counted(), 0U);
     EXPECT_EQ(m_refused, 0U);
-    EXPECT_EQ(believers(), s_gateways);
+    EXPECT_EQ(gateways_with_limit(), s_gateways);
 }
 
 TEST_F(RateLimitFleet, FindsTheEndOfALimit)
 {
-    play_requests(1s, 600);
+    advance_with_requests(1s, 600);
     state(1);
-    play_requests(5s, 600);
-    ASSERT_EQ(believers(), s_gateways);
+    advance_with_requests(5s, 600);
+    ASSERT_EQ(gateways_with_limit(), s_gateways);
     state(std::nullopt);
     // Two rechecks at most, and the way of a report.
-    play_requests(BackendFleet::s_recheck_interval * 2 + s_knowledge_limit + 1s, 600);
-    EXPECT_EQ(believers(), 0U);
+    advance_with_requests(BackendFleet::s_recheck_interval * 2 + s_max_propagation_time + 1s, 600);
+    EXPECT_EQ(gateways_with_limit(), 0U);
 }
 
 // The age in a report does not include the time that it waits at a busy gateway.
 TEST_F(RateLimitFleet, CorrectsAGatewayWithADelayedReport)
 {
-    play_requests(1s, 600);
+    advance_with_requests(1s, 600);
     state(1);
-    play_requests(3s, 600);
+    advance_with_requests(3s, 600);
     auto const server = view(node(7), s_limited).id();
     auto const late = Policy::RateLimitFact::limited(1, m_now + 2'500ms);
     node(7).fleet.rate_limits().take({server, late}, Policy::Relaying::No, m_now);
     state(std::nullopt);
-    play_requests(Policy::RateLimitFacts::s_refresh + BackendFleet::s_recheck_interval * 2 + 1s, 600);
-    EXPECT_EQ(believers(), 0U);
+    advance_with_requests(Policy::RateLimitFacts::s_refresh + BackendFleet::s_recheck_interval * 2 + 1s, 600);
+    EXPECT_EQ(gateways_with_limit(), 0U);
 }
 
 TEST_F(RateLimitFleet, ReportsALimitToANewGateway)
 {
-    play_requests(1s, 600);
+    advance_with_requests(1s, 600);
     state(1);
-    play_requests(2s, 600);
+    advance_with_requests(2s, 600);
     auto& restarted = m_nodes[7];
     restarted->is_alive = false;
-    play_requests(1s, 600);
+    advance_with_requests(1s, 600);
     restarted = make_node(7);
-    introduce();
-    play_requests(3s, 600);
+    connect_all();
+    advance_with_requests(3s, 600);
     EXPECT_TRUE(node(7).fleet.rate_limit_of(view(node(7), s_limited).id()));
 }
 
@@ -203,7 +203,7 @@
     ServerSignals leaving;
     leaving.is_leaving = true;
     told.fleet.note_signals(view(told, "i-3"), leaving, m_now, m_now);
-    play(s_knowledge_limit + Policy::LeavingFacts::s_repetition_interval * 2);
+    advance(s_max_propagation_time + Policy::LeavingFacts::s_repetition_interval * 2);
     for (auto const& node : m_nodes)
         EXPECT_FALSE(view(*node, "i-3").accepts_new_requests()) << node->address;
 }
--- a/Tests/LibGateway/StarvedFleet.h
+++ b/Tests/LibGateway/StarvedFleet.h
@@ -17,10 +17,10 @@
 /// runs.
 class StarvedGateway {
 public:
-    StarvedGateway(std::size_t number, Core::MonotonicTime begun, bool is_elected)
-        : m_node(number, 0, begun)
+    StarvedGateway(std::size_t number, Core::MonotonicTime started, bool is_elected)
+        : m_node(number, 0, started)
         // The patience of gateways is spread over once to twice the shortest one, as WatchDuty does.
-        , m_election({s_patience + s_patience * static_cast<int>(number) / 12}, begun)
+        , m_election({s_silence_timeout + s_silence_timeout * static_cast<int>(number) / 12}, started)
         , m_is_elected(is_elected)
     {
         // All in one failure domain, so that there is one relay.
@@ -28,7 +28,7 @@
         m_election.set_elected(is_elected);
     }
 
-    static constexpr Core::Milliseconds s_patience {750};
+    static constexpr Core::Milliseconds s_silence_timeout {750};
     /// Wait of a watch and time limit of its answer.
     static constexpr Core::Milliseconds s_call_limit {800};
 
@@ -37,7 +37,7 @@
     [[nodiscard]] bool is_alive() const { return m_node.is_alive; }
     [[nodiscard]] bool is_elected() const { return m_is_elected; }
     [[nodiscard]] bool is_watching() const { return m_node.is_alive && m_is_watching; }
-    [[nodiscard]] unsigned step_ins() const { return m_step_ins; }
+    [[nodiscard]] unsigned takeovers() const { return m_takeovers; }
     [[nodiscard]] unsigned relay_changes() const { return m_relay_changes; }
     [[nodiscard]] Core::MonotonicTime next_run() const { return m_next_run; }
     [[nodiscard]] Core::Milliseconds interval() const
@@ -80,8 +80,8 @@
     void watch_if_on_duty(Core::MonotonicTime now)
     {
         bool const is_on_duty = m_election.is_on_duty(now);
-        bool const has_begun = !std::exchange(m_is_watching, is_on_duty) && is_on_duty;
-        m_step_ins += has_begun && !m_is_elected ? 1 : 0;
+        bool const has_started = !std::exchange(m_is_watching, is_on_duty) && is_on_duty;
+        m_takeovers += has_started && !m_is_elected ? 1 : 0;
         if (!is_on_duty)
             return;
         for (auto const watch : {Entry::WatchElection::Watch::Table, Entry::WatchElection::Watch::Servers}) {
@@ -94,7 +94,7 @@
     Entry::WatchElection m_election;
     bool m_is_elected;
     bool m_is_watching {false};
-    unsigned m_step_ins {0};
+    unsigned m_takeovers {0};
     unsigned m_relay_changes {0};
     std::string m_relay;
     Core::MonotonicTime m_next_run;
@@ -129,7 +129,7 @@
     void set_mean_wait(Core::Milliseconds value) { m_mean_wait = value; }
     [[nodiscard]] Core::MonotonicTime now() const { return m_now; }
 
-    void play(Core::Milliseconds duration)
+    void advance(Core::Milliseconds duration)
     {
         for (auto const end = m_now + duration; m_now < end; m_now += s_step) {
             for (auto& gateway : m_gateways) {
@@ -152,7 +152,7 @@
         return static_cast<std::size_t>(
             std::ranges::count_if(m_gateways, [](auto const& gateway) { return gateway->is_watching(); }));
     }
-    [[nodiscard]] unsigned step_ins() const { return sum(&StarvedGateway::step_ins); }
+    [[nodiscard]] unsigned takeovers() const { return sum(&StarvedGateway::takeovers); }
     [[nodiscard]] unsigned relay_changes() const { return sum(&StarvedGateway::relay_changes); }
     [[nodiscard]] std::size_t sent() const { return m_sent; }
 
--- a/Tests/LibGateway/StarvedFleetTest.cpp
+++ b/Tests/LibGateway/StarvedFleetTest.cpp
@@ -20,19 +20,19 @@
 
 TEST_P(StarvedFleets, KeepTheirWatchersAndRelays)
 {
-    unsigned step_ins = 0;
+    unsigned takeovers = 0;
     unsigned relay_changes = 0;
     for (unsigned seed = 1; seed <= s_seeds; ++seed) {
         StarvedFleet fleet(seed, Core::Milliseconds(GetParam()));
-        fleet.play(s_start_time);
-        auto const step_ins_before = fleet.step_ins();
+        fleet.advance(s_start_time);
+        auto const takeovers_before = fleet.takeovers();
         auto const relay_changes_before = fleet.relay_changes();
-        fleet.play(s_observed_time);
-        step_ins += fleet.step_ins() - step_ins_before;
+        fleet.advance(s_observed_time);
+        takeovers += fleet.takeovers() - takeovers_before;
         relay_changes += fleet.relay_changes() - relay_changes_before;
     }
     // In a minute of twelve gateways: a wrong suspicion now and then, where each wait caused several.
-    EXPECT_LE(step_ins, 3 * s_seeds);
+    EXPECT_LE(takeovers, 3 * s_seeds);
     EXPECT_LE(relay_changes, 2 * StarvedFleet::s_count * s_seeds);
 }
 
@@ -46,11 +46,11 @@
         Core::Milliseconds longest {0};
         for (unsigned seed = 1; seed <= s_seeds; ++seed) {
             StarvedFleet fleet(seed, mean_wait);
-            fleet.play(s_start_time);
+            fleet.advance(s_start_time);
             fleet.kill_elected();
             auto const killed = fleet.now();
             while (fleet.count_watching() == 0 && fleet.now() < killed + limit)
-                fleet.play(s_step);
+                fleet.advance(s_step);
             longest = std::max(longest, Core::elapsed(killed, fleet.now()));
         }
         return longest;
@@ -69,9 +69,9 @@
 // A change must be in force within 3 s where hosts run, also with the short waits of a busy host.
 TEST_F(DeadWatchers, AreReplacedWithinThePromisedTimeOnABusyHost)
 {
-    constexpr Core::Milliseconds promised {3'000};
+    constexpr Core::Milliseconds limit {3'000};
     for (int const mean_wait : {0, 50, 100})
-        EXPECT_LT(longest_replacement(Core::Milliseconds(mean_wait), promised), promised) << mean_wait;
+        EXPECT_LT(longest_replacement(Core::Milliseconds(mean_wait), limit), limit) << mean_wait;
 }
 
 // The patience of a host that runs well again is the usual one, however long the gaps between reports were.
@@ -79,11 +79,11 @@
 {
     for (unsigned seed = 1; seed <= s_seeds; ++seed) {
         StarvedFleet fleet(seed, Core::Milliseconds(400));
-        fleet.play(s_start_time);
+        fleet.advance(s_start_time);
         fleet.set_mean_wait(Core::Milliseconds(0));
-        fleet.play(Core::RunningTime::s_recovery + s_start_time);
+        fleet.advance(Core::RunningTime::s_recovery + s_start_time);
         fleet.kill_elected();
-        fleet.play(StarvedGateway::s_patience + Core::Milliseconds(250));
+        fleet.advance(StarvedGateway::s_silence_timeout + Core::Milliseconds(250));
         EXPECT_GT(fleet.count_watching(), 0U) << "seed " << seed;
     }
 }
