--- a/Libraries/LibGateway/GatewayServer.cpp
+++ b/Libraries/LibGateway/GatewayServer.cpp
@@ -293,17 +293,17 @@
                         .add("known_for_ms", delay));
         m_registry.gauge("granitefield_table_version").set(static_cast<std::int64_t>(table->version().value()));
         m_table = std::move(table);
-        m_fleet.follow(*m_table);
+        m_fleet.apply(*m_table);
         auto const limits = m_table->caller_limits();
         m_limits = {{limits.head_bytes, limits.body_bytes}, limits.head_time, limits.idle_time};
     }
     auto const servers = m_shared_servers.current();
     if (servers && servers != m_servers) {
         m_servers = servers;
-        m_fleet.follow(*servers, Core::monotonic_now());
+        m_fleet.apply(*servers, Core::monotonic_now());
     }
     if (m_shared_drains != nullptr && m_shared_drains->version() != m_fleet.drains().version)
-        m_fleet.follow(m_shared_drains->current(), Core::monotonic_now());
+        m_fleet.apply(m_shared_drains->current(), Core::monotonic_now());
     bool const is_newly_ready = update_readiness() && m_is_ready;
     if (m_is_ready && (has_new_table || is_newly_ready) && !m_deferred_requests.is_empty())
         start_deferred_requests();
@@ -322,7 +322,7 @@
     if (members == m_members)
         return;
     m_members = members;
-    m_fleet.follow(m_members.get());
+    m_fleet.apply(m_members.get());
 }
 
 bool GatewayServer::update_readiness()
@@ -361,8 +361,8 @@
     }
     m_context.entry_count = m_membership.peer_count + 1;
     apply_members();
-    m_fleet.observe(now);
-    m_crashes.turn(now);
+    m_fleet.sample_prefill_load(now);
+    m_crashes.tick(now);
     tick_runs(now);
     if (m_context.usage != nullptr)
         m_context.unseen_runs.settle(*m_context.usage, now);
@@ -468,7 +468,7 @@
         auto const limit = m_fleet.rate_limit_of(view->id());
         servers.push_back({{"backend-server", instance}, {"service", view->record().service},
             {"address", view->record().address.to_string()}, {"domain", view->record().failure_domain},
-            {"serving", view->takes_new_requests()}, {"avoided", view->is_avoided(now)}, {"open", view->load().open},
+            {"serving", view->accepts_new_requests()}, {"avoided", view->is_avoided(now)}, {"open", view->load().open},
             {"failure-rate", view->failure_rate(now)}, {"drained", view->is_drained()}, {"cold", view->is_cold(now)},
             {"backoff-ms", Core::elapsed(now, view->backoff().next_send(now)).count()},
             {"rate-limit", limit ? nlohmann::json(*limit) : nlohmann::json()}});
