--- a/Libraries/LibEntry/SpreadVersions.h
+++ b/Libraries/LibEntry/StateVersions.h
@@ -8,27 +8,27 @@
 
 namespace GraniteField::Entry {
 
-/// The versions of what entries hand on to each other.
-struct SpreadVersions {
+/// Versions of the state that entries share.
+struct StateVersions {
     Core::TableVersion table;
     DrainsVersion drains;
     ListRevision servers;
 
-    /// Whether anything of it is newer.
-    [[nodiscard]] bool is_ahead_of(SpreadVersions const& other) const
+    /// Whether any part is newer than in `other`.
+    [[nodiscard]] bool is_ahead_of(StateVersions const& other) const
     {
         return table > other.table || drains > other.drains || servers > other.servers;
     }
 
-    /// Takes over what is newer in the other ones.
-    void merge(SpreadVersions const& other)
+    /// Adopts the newer version of each part.
+    void merge(StateVersions const& other)
     {
         table = std::max(table, other.table);
         drains = std::max(drains, other.drains);
         servers = std::max(servers, other.servers);
     }
 
-    friend auto operator<=>(SpreadVersions const&, SpreadVersions const&) = default;
+    friend auto operator<=>(StateVersions const&, StateVersions const&) = default;
 };
 
 }
--- a/Libraries/LibEntry/TableFollower.h
+++ b/Libraries/LibEntry/TableFollower.h
@@ -11,14 +11,14 @@
 
 namespace GraniteField::Entry {
 
-/// Keeps the table in step with the platform, on a thread of its own: reads it, then waits on a watch. Only
-/// the entries that PeerExchange names do so; the others learn from their peers. When the platform is down,
-/// the last table stays in force, and tries come less and less often.
+/// Follows the table in the platform's store on a thread of its own: reads it, then waits on a watch. Only the entries
+/// that PeerExchange elects do so; the others receive it from their peers. While the platform is down, the last table
+/// stays in force and calls are retried with backoff.
 class TableFollower {
 public:
-    /// `on_news` is called on this thread when there is a newer table.
-    TableFollower(
-        PlatformSettings const&, SharedTable&, PeerExchange&, std::function<void()> on_news, Observe::MetricRegistry&);
+    /// `on_update` is called on this thread when there is a newer table.
+    TableFollower(PlatformSettings const&, SharedTable&, PeerExchange&, std::function<void()> on_update,
+        Observe::MetricRegistry&);
     ~TableFollower();
     TableFollower(TableFollower const&) = delete;
     TableFollower& operator=(TableFollower const&) = delete;
@@ -32,7 +32,7 @@
     Core::Milliseconds m_idle_interval;
     SharedTable& m_table;
     PeerExchange& m_peers;
-    std::function<void()> m_on_news;
+    std::function<void()> m_on_update;
     Observe::MetricRegistry& m_metrics;
     Platform::ObjectClient m_client;
     Platform::TableStore m_store;
