--- a/Libraries/LibGateway/LoadAggregator.h
+++ b/Libraries/LibGateway/LoadAggregator.h
@@ -13,35 +13,35 @@
 
 namespace GraniteField::Gateway {
 
-/// Loads by the id of their backend server; what is not named has nothing open.
+/// Loads by the id of the backend server; servers without an entry have no load.
 using LoadsByServer = absl::flat_hash_map<std::uint64_t, ServerLoad>;
 
-/// What the gateways that report to a relay have open, and its sum for each backend server. No I/O and no clock.
+/// Sums up, for each backend server, the loads that gateways report to a relay. No I/O and no clock.
 class LoadAggregator {
 public:
-    /// A gateway that is silent for this long has stopped, or reports to another relay. It reports each 100 ms.
+    /// Time without a report after which a gateway's loads are dropped: it has stopped or reports to another relay.
+    /// Reports come every 100 ms.
     static constexpr Core::Milliseconds s_report_expiry {600};
 
     struct Report {
         std::uint64_t sequence {0};
         Core::MonotonicTime received_at;
-        /// Where it came from; empty for the relay's own.
+        /// Address of the sender; empty for the relay's own report.
         std::string address;
         LoadsByServer loads;
     };
 
-    /// Takes a gateway's report in place of its one before, and says whether it is newer.
+    /// Replaces the previous report of the gateway. Returns false for an outdated one, which is ignored.
     bool update(std::uint64_t gateway, Report);
-    /// Drops gateways that are silent, and returns who they were.
+    /// Removes gateways whose report has expired, and returns their ids.
     std::vector<std::uint64_t> remove_silent(Core::MonotonicTime now);
 
-    /// Sums of the servers whose load has changed since the last call.
+    /// Returns the sums of servers that have changed since the last call.
     [[nodiscard]] LoadsByServer take_changes();
     [[nodiscard]] bool has_changes() const { return !m_changed.empty(); }
-    /// All sums.
     [[nodiscard]] LoadsByServer const& sums() const { return m_sums; }
     [[nodiscard]] absl::flat_hash_map<std::uint64_t, Report> const& reports() const { return m_reports; }
-    /// The last sequence taken of that gateway; 0 if there is none.
+    /// Sequence number of the last report of that gateway; 0 if there is none.
     [[nodiscard]] std::uint64_t last_sequence_of(std::uint64_t gateway) const;
 
 private:
--- a/Libraries/LibGateway/LoadExchange.cpp
+++ b/Libraries/LibGateway/LoadExchange.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Bounds the time for which other work of the gateway's thread waits.
+/// Bounds the delay of other work on the gateway's thread.
 constexpr int s_max_datagrams_per_read = 256;
 
 std::string to_string(boost::asio::ip::udp::endpoint const& endpoint)
@@ -68,7 +68,7 @@
 
 void LoadExchange::tick(Core::MonotonicTime now)
 {
-    // Read what has arrived before the silence of others is judged.
+    // Waiting datagrams must be read before silent peers are detected.
     read_pending();
     wait_for_datagrams();
     auto members = m_membership.load_members();
@@ -117,7 +117,7 @@
 
 void LoadExchange::wait_for_datagrams()
 {
-    // A process that runs late reads datagrams at its turns, which saves a wake-up for each.
+    // A process that runs late reads datagrams at its ticks only, which saves a wake-up for each.
     if (m_is_waiting || m_sharing.is_slow())
         return;
     m_is_waiting = true;
--- a/Libraries/LibGateway/LoadExchange.h
+++ b/Libraries/LibGateway/LoadExchange.h
@@ -21,18 +21,19 @@
 
 namespace GraniteField::Gateway {
 
-/// Carries the datagrams of LoadSharing. On the gateway's thread.
+/// Sends and receives the datagrams of LoadSharing over UDP. On the gateway's thread.
 class LoadExchange {
 public:
-    /// What is shared for duties is null where gateways have none.
+    /// `duties` is null where gateways have no duties.
     LoadExchange(boost::asio::io_context&, std::optional<Core::Address> const&, BackendFleet&, CrashSharing,
         DutySharing* duties, Entry::SharedMembership const&, Entry::WatchDuty&, Observe::EventLog&,
         Observe::MetricRegistry&);
 
-    /// A prompt was sent to the server; `parts` are those that other prompts may share, `own_tokens` the rest of it.
+    /// Records a prompt sent to the server. `parts` may be shared with other prompts; `own_tokens` is the length of the
+    /// rest.
     void note_placement(BackendView const&, std::span<PromptPart const> parts, std::uint32_t own_tokens);
 
-    /// What this gateway met at a server; told to the others.
+    /// Report the state in which this gateway found a server to the other gateways.
     void note_unreachable(BackendView const& server)
     {
         if_open([&] { m_sharing.note_unreachable(server); });
@@ -46,13 +47,13 @@
         if_open([&] { m_sharing.note_answering(server); });
     }
 
-    /// Where datagrams arrive, with the port that the kernel chose; empty for nowhere.
+    /// Address at which datagrams are received, with the port chosen by the kernel; empty without a socket.
     [[nodiscard]] std::string address() const;
 
 private:
     using Udp = boost::asio::ip::udp;
 
-    /// Without a socket nothing is told, and nothing may pile up.
+    /// Runs the action only with a socket; without one, reports would accumulate without being sent.
     void if_open(auto action)
     {
         if (m_socket.is_open())
@@ -60,12 +61,12 @@
     }
     void schedule();
     void tick(Core::MonotonicTime now);
-    /// Logs whom this gateway reports to, and whether it relays, when that changes.
+    /// Logs changes of the relay that this gateway reports to, and of whether it relays itself.
     void log_relay_change();
     void send(OutgoingDatagram const&);
     [[nodiscard]] Udp::endpoint const& endpoint_of(std::string const& address);
     void wait_for_datagrams();
-    /// Takes all datagrams that have arrived.
+    /// Handles datagrams that have arrived, up to s_max_datagrams_per_read.
     void read_pending();
     void handle(ReceivedDatagram const&);
 
@@ -80,7 +81,7 @@
     bool m_logged_is_relay {false};
     std::string m_logged_relay;
     Udp::socket m_socket;
-    /// By their text, which is how members are named.
+    /// Endpoints by address text, which identifies members.
     absl::flat_hash_map<std::string, Udp::endpoint> m_endpoints;
     DatagramReader m_reader;
     bool m_is_waiting {false};
--- a/Libraries/LibGateway/LoadSharing.cpp
+++ b/Libraries/LibGateway/LoadSharing.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-/// Own reports that are remembered, to be taken out of sums that hold them: three seconds' worth.
+/// Number of own reports kept to subtract them from the sums of a relay: three seconds' worth.
 constexpr std::size_t s_max_own_reports = 60;
-/// Parts of a prompt that a placement names; longer beginnings are shared by few.
+/// Maximum number of prompt parts in a placement; longer prefixes are shared by few prompts.
 constexpr int s_max_parts = 64;
 constexpr auto s_ticks_per_refresh = static_cast<std::size_t>(LoadSharing::s_refresh / LoadSharing::s_interval);
 
@@ -38,15 +38,15 @@
     return {values.data(), static_cast<std::size_t>(values.size())};
 }
 
-/// The difference, and nothing where there is less: what is subtracted may be older.
-ServerLoad difference(ServerLoad const& load, ServerLoad const& part)
+/// Subtracts with a lower bound of zero, since the subtracted load may be older.
+ServerLoad difference(ServerLoad const& load, ServerLoad const& subtracted)
 {
-    return {load.open - std::min(load.open, part.open),
-        load.unread_tokens - std::min(load.unread_tokens, part.unread_tokens),
-        load.pause_sensitive - std::min(load.pause_sensitive, part.pause_sensitive)};
+    return {load.open - std::min(load.open, subtracted.open),
+        load.unread_tokens - std::min(load.unread_tokens, subtracted.unread_tokens),
+        load.pause_sensitive - std::min(load.pause_sensitive, subtracted.pause_sensitive)};
 }
 
-/// Older signs of a watch are left out: by then everybody has stepped in long ago.
+/// Maximum age of a watcher's activity that is reported. Other gateways take over the watch long before that.
 constexpr Core::Milliseconds s_max_report_age {60'000};
 
 std::optional<std::uint32_t> age_of(std::optional<Core::MonotonicTime> time, Core::MonotonicTime now)
@@ -137,15 +137,15 @@
         && report.broken_size() <= max_suspected && report.answering_size() <= max_suspected;
     bool const are_shared_parts_valid = DutySharing::is_within_bounds(report)
         && CrashSharing::is_within_bounds(report.crashes()) && SignalSharing::is_within_bounds(report.signals())
-        && std::ranges::all_of(datagram.relayed(), [](auto const& part) {
-               return DutySharing::is_within_bounds(part) && CrashSharing::is_within_bounds(part.crashes())
-                   && SignalSharing::is_within_bounds(part.signals());
+        && std::ranges::all_of(datagram.relayed(), [](auto const& relayed) {
+               return DutySharing::is_within_bounds(relayed) && CrashSharing::is_within_bounds(relayed.crashes())
+                   && SignalSharing::is_within_bounds(relayed.signals());
            });
     return is_report_valid && are_server_states_valid && are_shared_parts_valid
         && datagram.relayed_size() <= static_cast<int>(s_max_forwarded) + 1
-        && std::ranges::all_of(datagram.relayed(), [&](auto const& part) {
-               return part.servers_size() <= static_cast<int>(s_max_servers) && are_valid(part.placements())
-                   && part.suspected_size() <= max_suspected && part.answering_size() <= max_suspected;
+        && std::ranges::all_of(datagram.relayed(), [&](auto const& relayed) {
+               return relayed.servers_size() <= static_cast<int>(s_max_servers) && are_valid(relayed.placements())
+                   && relayed.suspected_size() <= max_suspected && relayed.answering_size() <= max_suspected;
            });
 }
 
@@ -160,8 +160,8 @@
         receive_report(datagram.report(), from, now, waited);
     if (datagram.relayed_size() > 0)
         m_election.note_relay_datagram(from, now);
-    for (auto const& part : datagram.relayed())
-        receive_relayed(part, now, waited);
+    for (auto const& relayed : datagram.relayed())
+        receive_relayed(relayed, now, waited);
     return true;
 }
 
@@ -210,33 +210,33 @@
     }
 }
 
-void LoadSharing::receive_relayed(RelayedLoad const& part, Core::MonotonicTime now, Core::Milliseconds waited)
+void LoadSharing::receive_relayed(RelayedLoad const& relayed, Core::MonotonicTime now, Core::Milliseconds waited)
 {
-    if (part.relay() == m_self)
+    if (relayed.relay() == m_self)
         return;
-    m_received_store_report.merge(read_store_report(part.store(), now - waited));
+    m_received_store_report.merge(read_store_report(relayed.store(), now - waited));
     if (m_duty_sharing != nullptr)
         m_duty_sharing->receive_relayed(
-            part, is_from_own_relay(part) ? DutySharing::Sender::OwnRelay : DutySharing::Sender::Other, now);
-    m_crash_sharing.receive(part.crashes(), Policy::CrashLedger::Relaying::No, now);
-    m_signal_sharing.receive(part.signals(), Policy::Relaying::No, now);
-    auto loads = read_loads(part.servers());
-    subtract_own_load(part, loads);
-    if (!m_relay_loads.apply(part.relay(), part.sequence(), LoadSources::ReportKind::Delta, loads, now))
+            relayed, is_from_own_relay(relayed) ? DutySharing::Sender::OwnRelay : DutySharing::Sender::Other, now);
+    m_crash_sharing.receive(relayed.crashes(), Policy::CrashLedger::Relaying::No, now);
+    m_signal_sharing.receive(relayed.signals(), Policy::Relaying::No, now);
+    auto loads = read_loads(relayed.servers());
+    subtract_own_load(relayed, loads);
+    if (!m_relay_loads.apply(relayed.relay(), relayed.sequence(), LoadSources::ReportKind::Delta, loads, now))
         return;
-    apply_placements(part.placements());
-    apply_suspicions(part, now);
+    apply_placements(relayed.placements());
+    apply_suspicions(relayed, now);
     if (m_aggregator.reports().empty() || m_forwarded.size() >= s_max_forwarded)
         return;
-    m_forwarded.push_back(part);
+    m_forwarded.push_back(relayed);
     m_forwarded.back().clear_counted();
 }
 
-void LoadSharing::subtract_own_load(RelayedLoad const& part, LoadsByServer& loads) const
+void LoadSharing::subtract_own_load(RelayedLoad const& relayed, LoadsByServer& loads) const
 {
     auto const counted
-        = std::ranges::find_if(part.counted(), [this](auto const& report) { return report.gateway() == m_self; });
-    if (counted == part.counted().end())
+        = std::ranges::find_if(relayed.counted(), [this](auto const& report) { return report.gateway() == m_self; });
+    if (counted == relayed.counted().end())
         return;
     auto const own = std::ranges::find(m_own_reports, counted->sequence(), &OwnReport::sequence);
     if (own == m_own_reports.end())
@@ -281,22 +281,22 @@
     }
 }
 
-bool LoadSharing::is_from_own_relay(RelayedLoad const& part) const
+bool LoadSharing::is_from_own_relay(RelayedLoad const& relayed) const
 {
-    return std::ranges::any_of(part.counted(), [this](auto const& report) { return report.gateway() == m_self; });
+    return std::ranges::any_of(relayed.counted(), [this](auto const& report) { return report.gateway() == m_self; });
 }
 
-void LoadSharing::apply_suspicions(RelayedLoad const& part, Core::MonotonicTime now)
+void LoadSharing::apply_suspicions(RelayedLoad const& relayed, Core::MonotonicTime now)
 {
-    bool const is_from_own_domain = is_from_own_relay(part);
-    for (auto const server : part.suspected()) {
-        if (is_from_own_domain || m_failure_detector.note_remote_suspicion(server, part.relay(), now))
+    bool const is_from_own_domain = is_from_own_relay(relayed);
+    for (auto const server : relayed.suspected()) {
+        if (is_from_own_domain || m_failure_detector.note_remote_suspicion(server, relayed.relay(), now))
             mark_suspected(server, now);
     }
-    // A server that answers elsewhere may still be out of reach from here.
+    // A server that answers in another failure domain may be unreachable from this one.
     if (!is_from_own_domain)
         return;
-    for (auto const server : part.answering())
+    for (auto const server : relayed.answering())
         mark_alive(server);
 }
 
@@ -423,27 +423,27 @@
     for (auto const& item : std::exchange(m_deferred_loads, {}))
         loads.insert(item);
     add_refresh(loads, now);
-    RelayedLoad part;
-    part.set_relay(m_self);
-    part.set_sequence(++m_relay_sequence);
-    write_store_report(*part.mutable_store(), m_store_report, now);
+    RelayedLoad relayed;
+    relayed.set_relay(m_self);
+    relayed.set_sequence(++m_relay_sequence);
+    write_store_report(*relayed.mutable_store(), m_store_report, now);
     if (m_duty_sharing != nullptr)
-        m_duty_sharing->fill_relayed(part, now);
-    m_crash_sharing.fill(*part.mutable_crashes(), now);
-    m_signal_sharing.fill(*part.mutable_signals(), now);
+        m_duty_sharing->fill_relayed(relayed, now);
+    m_crash_sharing.fill(*relayed.mutable_crashes(), now);
+    m_signal_sharing.fill(*relayed.mutable_signals(), now);
     for (auto const& [server, load] : loads) {
-        if (part.servers_size() < static_cast<int>(s_max_servers))
-            write_load(*part.add_servers(), server, load);
+        if (relayed.servers_size() < static_cast<int>(s_max_servers))
+            write_load(*relayed.add_servers(), server, load);
         else
             m_deferred_loads[server] = load;
     }
     auto const placements = std::exchange(m_relay_placements, {});
-    part.mutable_placements()->Assign(placements.begin(), placements.end());
-    part.mutable_suspected()->Assign(m_suspected_to_send.begin(), m_suspected_to_send.end());
-    part.mutable_answering()->Assign(m_answering_to_send.begin(), m_answering_to_send.end());
+    relayed.mutable_placements()->Assign(placements.begin(), placements.end());
+    relayed.mutable_suspected()->Assign(m_suspected_to_send.begin(), m_suspected_to_send.end());
+    relayed.mutable_answering()->Assign(m_answering_to_send.begin(), m_answering_to_send.end());
     m_suspected_to_send.clear();
     m_answering_to_send.clear();
-    return part;
+    return relayed;
 }
 
 void LoadSharing::send_as_relay(std::vector<OutgoingDatagram>& outgoing, Core::MonotonicTime now)
@@ -454,25 +454,25 @@
     if (!is_due && !has_new_data)
         return;
     m_last_relay_datagram = now;
-    auto part = make_relayed_load(now);
+    auto relayed = make_relayed_load(now);
     Datagram to_relays;
-    *to_relays.add_relayed() = part;
+    *to_relays.add_relayed() = relayed;
     auto const bytes = serialize(to_relays);
     for (auto& address : m_election.peer_relays(now))
         outgoing.push_back({std::move(address), bytes});
 
     if (std::exchange(m_has_new_reporter, false)) {
         if (m_duty_sharing != nullptr)
-            m_duty_sharing->fill_all(part);
-        m_signal_sharing.fill_all(*part.mutable_signals(), now);
+            m_duty_sharing->fill_all(relayed);
+        m_signal_sharing.fill_all(*relayed.mutable_signals(), now);
     }
     Datagram to_reporters;
     for (auto const& [gateway, report] : m_aggregator.reports()) {
-        auto& counted = *part.add_counted();
+        auto& counted = *relayed.add_counted();
         counted.set_gateway(gateway);
         counted.set_sequence(report.sequence);
     }
-    *to_reporters.add_relayed() = std::move(part);
+    *to_reporters.add_relayed() = std::move(relayed);
     for (auto& forwarded : std::exchange(m_forwarded, {}))
         *to_reporters.add_relayed() = std::move(forwarded);
     auto const reporters_bytes = serialize(to_reporters);
--- a/Libraries/LibGateway/LoadSharing.h
+++ b/Libraries/LibGateway/LoadSharing.h
@@ -27,39 +27,38 @@
 
 namespace GraniteField::Gateway {
 
-/// A datagram that is to be sent.
 struct OutgoingDatagram {
     std::string address;
     std::shared_ptr<std::string const> bytes;
 };
 
-/// Decides what this gateway tells whom of what it has open at each backend server and of the prompts that it has sent
-/// there, and what it believes of others. Without others' word each gateway would choose by its own part of the load.
+/// Shares the load that each gateway has on each backend server, and the prompts that it has sent there, among all
+/// gateways. Without it each gateway would place requests by its own part of the load.
 ///
-/// Each gateway reports to the relay of its failure domain. A relay adds the reports up, tells the sums to those who
-/// report to it and to the relays of the other failure domains, and hands on what it hears from these. A gateway so
-/// reads one stream of datagrams, however many gateways there are, and nothing that must be right rests on it.
-/// No I/O and no clock; on the gateway's thread.
+/// Each gateway reports to the relay of its failure domain. A relay sums up the reports, sends the sums to its
+/// reporters and to the relays of the other failure domains, and forwards to its reporters what these relays send. A
+/// gateway thus reads one stream of datagrams regardless of the number of gateways. Correctness of results does not
+/// depend on this data. No I/O and no clock; on the gateway's thread.
 class LoadSharing {
 public:
     using Datagram = granitefield::protocol::LoadDatagram;
 
-    /// How often there is something to say while requests are open. What one gateway does is known at all others after
-    /// three such times at most: its own, its relay's and the relay's of the other failure domain.
+    /// Interval of datagrams while requests are open. A change at one gateway reaches all others within three
+    /// intervals: its own, that of its relay and that of the relay in the other failure domain.
     static constexpr Core::Milliseconds s_interval {50};
-    /// The longest silence of a gateway towards its relay, and of a relay.
+    /// Maximum time between two datagrams of a gateway to its relay, and of a relay.
     static constexpr Core::Milliseconds s_heartbeat {100};
-    /// How often a relay names each server of which it knows anything. A lost datagram is made good by then.
+    /// Interval at which a relay repeats the sum of each server with load. It bounds the effect of a lost datagram.
     static constexpr Core::Milliseconds s_refresh {1'000};
-    /// What a relay said is forgotten when it has been silent for this long: several heartbeats.
+    /// Time without a datagram of a relay after which its loads are dropped: several heartbeats.
     static constexpr Core::Milliseconds s_relay_expiry {600};
-    /// What it said of a server is forgotten when it was not named for this long: it misses two refreshes.
+    /// Time after which a relay's load of a server that it no longer reports is dropped: two missed refreshes.
     static constexpr Core::Milliseconds s_entry_expiry {2'500};
-    /// Bounds on what one datagram holds; its size stays below the 64 KB that one can have.
+    /// Bounds on the content of a datagram, which keep it below the 64 KB limit of UDP.
     static constexpr std::size_t s_max_servers = 1'500;
     static constexpr std::size_t s_max_placements = 200;
     static constexpr std::size_t s_max_forwarded = 32;
-    /// Most servers that one report lists as dead, or as answering again.
+    /// Maximum number of servers that a report lists as dead, or as answering again.
     static constexpr std::size_t s_max_suspected = 1'000;
 
     enum class WatchesStore {
@@ -67,21 +66,22 @@
         Yes,
     };
 
-    /// `self` is the gateway's incarnation. What is shared for duties is null where gateways have none.
+    /// `self` is the incarnation of the gateway. `duties` is null where gateways have no duties.
     LoadSharing(std::uint64_t self, BackendFleet&, CrashSharing, DutySharing* duties, Core::MonotonicTime started);
 
     void set_members(Entry::LoadMembers const&);
 
-    /// A prompt was sent to the server; `parts` are those that other prompts may share, `own_tokens` the rest of it.
+    /// Records a prompt sent to the server. `parts` may be shared with other prompts; `own_tokens` is the length of the
+    /// rest.
     void note_placement(BackendView const&, std::span<PromptPart const> parts, std::uint32_t own_tokens);
 
-    /// The server took no connection, broke off an answer, or has answered again.
+    /// Record that the server refused a connection, broke off an answer, or has answered again.
     void note_unreachable(BackendView const& server) { m_unreachable.push_back(server.id()); }
     void note_broken(BackendView const& server) { m_broken.push_back(server.id()); }
     void note_answering(BackendView const& server) { m_answering.push_back(server.id()); }
 
-    /// Takes a datagram from that address, which arrived `waited` before it was read. Returns whether it was accepted:
-    /// its sender must be a member, and its sizes must be within the bounds.
+    /// Applies a datagram from the address `from` that spent `waited` in the socket's buffer. Returns false, and
+    /// ignores it, if its sender is no member, its protocol version differs, or its sizes exceed the bounds.
     bool receive(Datagram const&, std::string const& from, Core::MonotonicTime now,
         Core::Milliseconds waited = Core::Milliseconds(0));
 
@@ -90,19 +90,20 @@
     /// Returns what other gateways have reported about the store since the last call.
     [[nodiscard]] Entry::StoreReport take_store_report() { return std::exchange(m_received_store_report, {}); }
 
-    /// What there is to send now; `own_clock` is this host's time of day.
+    /// Returns the datagrams to send now. `own_clock` is the wall clock of this host.
     [[nodiscard]] std::vector<OutgoingDatagram> tick(Cluster::WallTime own_clock, Core::MonotonicTime now);
 
-    /// Time until the next call of turn(). A gateway that runs late calls it less often, unless others depend on its
-    /// datagrams: those that report to it, or all if it watches the platform's store.
+    /// Time until the next call of tick(). A gateway that runs late ticks less often, unless other gateways depend on
+    /// its datagrams: its reporters, or all gateways if it watches the platform's store.
     [[nodiscard]] Core::Milliseconds interval(WatchesStore) const;
-    /// Whether this gateway has heard no other yet, and the others may not know it.
+    /// Whether this gateway has received no relay's datagram yet and is within its join delay, so that peers may not
+    /// know it.
     [[nodiscard]] bool is_joining(Core::MonotonicTime now) const { return m_election.is_joining(now); }
     /// Whether this process runs late.
     [[nodiscard]] bool is_slow() const { return m_election.is_slow(); }
-    /// The relay that this gateway reports to, its own address if it relays; empty while there is none.
+    /// Address of the relay that this gateway reports to, its own address if it relays; empty while there is none.
     [[nodiscard]] std::string const& relay() const { return m_relay; }
-    /// Whether other gateways report here, or this one reports to nobody else.
+    /// Whether this gateway relays: other gateways report to it, or it is its own relay.
     [[nodiscard]] bool is_relay() const { return m_is_relay; }
 
 private:
@@ -110,7 +111,7 @@
     using RelayedLoad = granitefield::protocol::RelayedLoad;
     using Placements = std::vector<Placement>;
 
-    /// What this gateway had open at its report of that sequence.
+    /// Loads of this gateway in its report with this sequence number.
     struct OwnReport {
         std::uint64_t sequence {0};
         LoadsByServer loads;
@@ -122,22 +123,22 @@
     void receive_relayed(RelayedLoad const&, Core::MonotonicTime now, Core::Milliseconds waited);
     void apply_placements(google::protobuf::RepeatedPtrField<Placement> const&);
     void relay_placements(google::protobuf::RepeatedPtrField<Placement> const&);
-    /// Takes this gateway's own part out of a sum that holds it.
+    /// Subtracts this gateway's own load from sums that include it.
     void subtract_own_load(RelayedLoad const&, LoadsByServer&) const;
 
-    /// What the gateways of this relay's failure domain have met.
+    /// Collects the findings of the gateways that report to this relay.
     void collect_suspicions(std::span<std::uint64_t const> unreachable, std::span<std::uint64_t const> broken,
         std::span<std::uint64_t const> answering, Core::MonotonicTime now);
-    /// Whether the part comes from the relay that this gateway reports to.
+    /// Whether the datagram comes from the relay that this gateway reports to.
     [[nodiscard]] bool is_from_own_relay(RelayedLoad const&) const;
     void apply_suspicions(RelayedLoad const&, Core::MonotonicTime now);
     void mark_suspected(std::uint64_t server, Core::MonotonicTime now);
     void mark_alive(std::uint64_t server);
 
     [[nodiscard]] LoadsByServer own_loads() const;
-    /// Begins the next report of what is open here.
+    /// Stores the loads of the next report and returns its sequence number.
     std::uint64_t record_own_report(LoadsByServer);
-    /// What goes with the next datagram and can't wait.
+    /// Whether shared data is due that must not wait for the next heartbeat.
     [[nodiscard]] bool has_urgent_reports(Core::MonotonicTime now) const
     {
         return has_duty_changes() || m_crash_sharing.has_due_reports(now) || m_signal_sharing.has_due_reports(now);
@@ -155,7 +156,7 @@
     CrashSharing m_crash_sharing;
     SignalSharing m_signal_sharing;
     DutySharing* m_duty_sharing;
-    /// A gateway that was not known reports here.
+    /// A gateway has reported for the first time and needs the full state.
     bool m_has_new_reporter {false};
     RelayElection m_election;
     LoadAggregator m_aggregator;
@@ -183,11 +184,11 @@
     FailureDetector m_failure_detector;
     absl::flat_hash_set<std::uint64_t> m_suspected_to_send;
     absl::flat_hash_set<std::uint64_t> m_answering_to_send;
-    /// Other gateways; they may all try a suspected server again.
+    /// Number of other gateways, each of which may retry a suspected server.
     std::size_t m_peer_count {0};
-    /// Changed servers that did not fit in.
+    /// Changed sums that did not fit into the last datagram.
     LoadsByServer m_deferred_loads;
-    /// Servers that are still to be named in this refresh.
+    /// Servers whose sums this refresh has yet to send.
     std::vector<std::uint64_t> m_servers_to_refresh;
     std::size_t m_servers_per_tick {0};
     Core::MonotonicTime m_last_refresh;
--- a/Libraries/LibGateway/LoadSources.cpp
+++ b/Libraries/LibGateway/LoadSources.cpp
@@ -22,7 +22,7 @@
     auto found = source.entries.find(server);
     if (found == source.entries.end()) {
         auto view = m_fleet.find(server);
-        // One that the list does not hold yet is told of again with the next whole word.
+        // The load of a server that is not listed yet comes again with the next full report or refresh.
         if (view == nullptr || load == ServerLoad())
             return;
         found = source.entries.emplace(server, Entry {std::move(view), {}, {}}).first;
--- a/Libraries/LibGateway/LoadSources.h
+++ b/Libraries/LibGateway/LoadSources.h
@@ -13,14 +13,14 @@
 
 namespace GraniteField::Gateway {
 
-/// What others have said of the load of backend servers, kept by who said it and added up in the fleet's views. On the
-/// gateway's thread; no I/O and no clock.
+/// Keeps the loads of backend servers that other gateways report, by source, and adds them to the views of the fleet.
+/// On the gateway's thread; no I/O and no clock.
 class LoadSources {
 public:
     enum class ReportKind {
-        /// Servers that are not named are as they were.
+        /// Servers that are not listed are unchanged.
         Delta,
-        /// Servers that are not named have nothing open.
+        /// Servers that are not listed have no load.
         Full,
     };
 
@@ -29,10 +29,11 @@
     {
     }
 
-    /// Takes what a source says, unless something newer has come from it already; says whether it was taken.
+    /// Applies a report of a source. Returns false, and ignores it, if its sequence number is not newer than the last
+    /// one.
     bool apply(std::uint64_t source, std::uint64_t sequence, ReportKind, LoadsByServer const&, Core::MonotonicTime now);
     void remove(std::uint64_t source);
-    /// Forgets sources that have said nothing for `source_expiry`, and what they have not named for `entry_expiry`.
+    /// Removes sources without a report for `source_expiry`, and entries that were not reported for `entry_expiry`.
     void remove_silent(Core::MonotonicTime now, Core::Milliseconds source_expiry, Core::Milliseconds entry_expiry);
 
 private:
