--- a/Libraries/LibGateway/DatagramReader.cpp
+++ b/Libraries/LibGateway/DatagramReader.cpp
@@ -56,18 +56,18 @@
 {
     int const is_enabled = 1;
     if (::setsockopt(socket, SOL_SOCKET, SO_TIMESTAMPNS, &is_enabled, sizeof(is_enabled)) != 0)
-        PLOG(WARNING) << "loads: no times of arrival";
+        PLOG(WARNING) << "loads: failed to enable timestamps of arrival";
 }
 
 std::optional<ReceivedDatagram> DatagramReader::read(int socket)
 {
     sockaddr_storage sender {};
-    iovec part {m_buffer.data(), m_buffer.size()};
+    iovec buffer {m_buffer.data(), m_buffer.size()};
     alignas(cmsghdr) std::array<char, CMSG_SPACE(sizeof(timespec))> control {};
     msghdr message {};
     message.msg_name = &sender;
     message.msg_namelen = sizeof(sender);
-    message.msg_iov = &part;
+    message.msg_iov = &buffer;
     message.msg_iovlen = 1;
     message.msg_control = control.data();
     message.msg_controllen = control.size();
--- a/Libraries/LibGateway/DatagramReader.h
+++ b/Libraries/LibGateway/DatagramReader.h
@@ -10,23 +10,23 @@
 
 namespace GraniteField::Gateway {
 
-/// A datagram that has been read. Its bytes hold until the next one is read.
+/// A received datagram. Its bytes are valid until the next read.
 struct ReceivedDatagram {
     std::string_view bytes;
     /// `address:port`.
     std::string sender;
-    /// How long it waited in the socket's buffer.
+    /// Time that it spent in the socket's buffer.
     Core::Milliseconds waited {0};
 };
 
-/// Reads the datagrams of a socket with the kernel's timestamps of their arrival. A process that waits for a processor
-/// reads them late, and their content has aged meanwhile.
+/// Reads datagrams with the kernel's timestamps of their arrival. A process that waits for a processor reads datagrams
+/// late, after their content has aged.
 class DatagramReader {
 public:
     /// Enables timestamps for the socket. Logs a failure; datagrams then count as read on arrival.
     static void enable_arrival_times(int socket);
 
-    /// The next datagram of a socket that does not block, or nullopt if there is none.
+    /// Returns the next datagram of a non-blocking socket, or nullopt if there is none.
     [[nodiscard]] std::optional<ReceivedDatagram> read(int socket);
 
 private:
--- a/Libraries/LibGateway/MessageAge.h
+++ b/Libraries/LibGateway/MessageAge.h
@@ -8,7 +8,7 @@
 
 namespace GraniteField::Gateway {
 
-/// The age of a time in milliseconds, which datagrams carry in place of times since the hosts' clocks differ. Times in
+/// The age of a time in milliseconds. Datagrams carry ages instead of times since the clocks of hosts differ. Times in
 /// the future have the age 0.
 [[nodiscard]] inline std::uint32_t age_of(Core::MonotonicTime time, Core::MonotonicTime now)
 {
--- a/Libraries/LibGateway/RelayElection.cpp
+++ b/Libraries/LibGateway/RelayElection.cpp
@@ -27,7 +27,7 @@
     if (found == m_contacts.end())
         return;
     auto& contact = found->second;
-    auto const running_time = m_running.clock(now);
+    auto const running_time = m_running_clock.clock(now);
     if (contact.last_received)
         contact.gaps.note(Core::elapsed(*contact.last_received, running_time));
     contact.last_received = running_time;
@@ -37,7 +37,7 @@
 
 Core::Milliseconds RelayElection::silence_limit(Contact const& contact) const
 {
-    return m_running.is_slow() ? contact.gaps.silence_limit(s_silence_limit) : s_silence_limit;
+    return m_running_clock.is_slow() ? contact.gaps.silence_limit(s_silence_limit) : s_silence_limit;
 }
 
 bool RelayElection::is_responsive(std::string const& address, Core::MonotonicTime running_time) const
@@ -48,7 +48,7 @@
 
 bool RelayElection::can_relay(Core::MonotonicTime now) const
 {
-    return m_running.at(now) >= s_join_delay;
+    return m_running_clock.at(now) >= s_join_delay;
 }
 
 bool RelayElection::is_joining(Core::MonotonicTime now) const
@@ -60,14 +60,14 @@
 
 bool RelayElection::has_paused(Core::MonotonicTime& last, Core::MonotonicTime now) const
 {
-    auto const running_time = m_running.clock(now);
+    auto const running_time = m_running_clock.clock(now);
     return Core::elapsed(std::exchange(last, running_time), running_time) > s_silence_limit + interval();
 }
 
 std::string const* RelayElection::first_responsive(
     Members const& members, std::string& current, Core::MonotonicTime now)
 {
-    auto const running_time = m_running.clock(now);
+    auto const running_time = m_running_clock.clock(now);
     for (auto const& member : members) {
         if (member.address == m_self.address) {
             if (!can_relay(now))
@@ -94,7 +94,7 @@
 
 std::optional<std::string> RelayElection::choose_relay(Core::MonotonicTime now)
 {
-    m_running.note_tick(now);
+    m_running_clock.note_tick(now);
     if (m_self.address.empty())
         return std::nullopt;
     if (has_paused(m_last_choice, now))
@@ -119,7 +119,7 @@
             }
             bool const is_predecessor = is_before_self && predecessors < s_max_predecessors;
             predecessors += is_predecessor ? 1 : 0;
-            if (is_predecessor || is_responsive(member.address, m_running.clock(now)))
+            if (is_predecessor || is_responsive(member.address, m_running_clock.clock(now)))
                 relays.push_back(member.address);
         }
         if (name == m_self.group || relays.size() > count_before)
--- a/Libraries/LibGateway/RelayElection.h
+++ b/Libraries/LibGateway/RelayElection.h
@@ -14,58 +14,60 @@
 
 namespace GraniteField::Gateway {
 
-/// Says which gateway of a failure domain collects what the others there have open. Each gateway decides for itself,
-/// from the members that it knows and from who answers it: the first in an order that is the same everywhere and that
-/// is not silent. Where gateways decide differently for a while there are two relays, which costs datagrams and no
-/// knowledge. No I/O and no clock.
+/// Elects the gateway of a failure domain that collects the loads of the others there. Each gateway decides on its own:
+/// it chooses the first member, in an order that is the same on all gateways, that is not silent. While gateways
+/// disagree there are two relays, which costs datagrams but loses no data. No I/O and no clock.
 class RelayElection {
 public:
-    /// Silence after which a relay is left for the next one, where this process runs on time. A relay sends each 100
-    /// ms, so that two lost datagrams in a row are borne, and its death costs no more than the age that knowledge had
-    /// without relays: one second among a hundred gateways.
+    /// Time without a datagram after which a relay is replaced, where this process runs on time. A relay sends every
+    /// 100 ms, so two datagrams lost in a row are tolerated. After the death of a relay, loads are no older than
+    /// without relays: one second with a hundred gateways.
     static constexpr Core::Milliseconds s_silence_limit {350};
-    /// How long a silent one is passed over first; it doubles up to the longest each time.
+    /// Time for which a silent member is skipped at first. It doubles with each further suspicion, up to the maximum.
     static constexpr Core::Milliseconds s_initial_suspicion {2'000};
     static constexpr Core::Milliseconds s_max_suspicion {16'000};
-    /// A gateway that has just begun does not know the members of its failure domain, and would take itself for the
-    /// relay. It leaves itself out for so long; the seeds tell of the members within some 200 ms.
+    /// Time after the start during which a gateway does not elect itself. It does not know the members of its failure
+    /// domain yet; the seeds report them within some 200 ms.
     static constexpr Core::Milliseconds s_join_delay {1'500};
-    /// Members of the own failure domain before this one that a relay tells what it knows, in case they relay as well.
+    /// Number of members before this one in its own failure domain that a relay also sends its sums to, since they may
+    /// relay as well.
     static constexpr std::size_t s_max_predecessors = 2;
 
     explicit RelayElection(Core::MonotonicTime started)
-        : m_running(started)
+        : m_running_clock(started)
     {
     }
 
     void set_members(Entry::LoadMembers const&);
 
-    /// A relay's datagram came from this address.
+    /// Records a relay's datagram from this address.
     void note_relay_datagram(std::string const& address, Core::MonotonicTime now);
 
-    /// Where to report to, the own address if this gateway is to relay; nothing while there is nobody.
+    /// Returns the address of the relay to report to, the own address if this gateway is to relay; nothing while no
+    /// member is eligible.
     [[nodiscard]] std::optional<std::string> choose_relay(Core::MonotonicTime now);
 
-    /// Whether this gateway has heard no other yet, and the others may not know it.
+    /// Whether this gateway has received no relay's datagram yet and is within its join delay, so that peers may not
+    /// know it.
     [[nodiscard]] bool is_joining(Core::MonotonicTime now) const;
 
-    /// Longest interval between calls of choose() now.
-    [[nodiscard]] Core::Milliseconds interval() const { return m_running.interval(); }
+    /// Maximum interval between calls of choose_relay() at present.
+    [[nodiscard]] Core::Milliseconds interval() const { return m_running_clock.interval(); }
     /// Whether this process runs late.
-    [[nodiscard]] bool is_slow() const { return m_running.is_slow(); }
+    [[nodiscard]] bool is_slow() const { return m_running_clock.is_slow(); }
 
-    /// To whom a relay tells what it has collected: the relays of other failure domains, and others of its own.
+    /// Returns the addresses that a relay sends its sums to: the relays of other failure domains and possible relays of
+    /// its own.
     [[nodiscard]] std::vector<std::string> peer_relays(Core::MonotonicTime now);
 
-    /// Whether this address is a member's.
+    /// Whether this is the address of a member.
     [[nodiscard]] bool is_member(std::string const& address) const { return m_contacts.contains(address); }
 
 private:
-    /// What is known of a member.
     struct Contact {
         std::optional<Core::MonotonicTime> last_received;
         Core::RecentGaps gaps;
-        /// Since when an answer of it is waited for.
+        /// Time since which a datagram of the member is expected.
         Core::MonotonicTime awaited_since;
         Core::MonotonicTime suspected_until;
         Core::Milliseconds next_suspicion {s_initial_suspicion};
@@ -73,25 +75,25 @@
 
     using Members = std::vector<Entry::LoadMember>;
 
-    /// The first of the members that is not silent; asks it, if it is not the one that was asked before.
+    /// Returns the first member that is not silent, and starts to wait for its datagrams if it differs from `current`.
     [[nodiscard]] std::string const* first_responsive(Members const&, std::string& current, Core::MonotonicTime now);
     [[nodiscard]] bool is_responsive(std::string const& address, Core::MonotonicTime running_time) const;
-    /// Time after which that member counts as silent.
+    /// Time without a datagram after which the member counts as silent.
     [[nodiscard]] Core::Milliseconds silence_limit(Contact const&) const;
     [[nodiscard]] bool can_relay(Core::MonotonicTime now) const;
-    /// Nobody was asked for a while: silence since then says nothing.
+    /// Whether no selection was made for longer than the silence limit. Silence in that time is no evidence.
     [[nodiscard]] bool has_paused(Core::MonotonicTime& last, Core::MonotonicTime now) const;
 
-    /// Measures silence without the time in which this process did not run. Times below are readings of its clock.
-    Core::RunningTime m_running;
+    /// Clock that excludes the time in which this process did not run. The times below are its readings.
+    Core::RunningTime m_running_clock;
     Entry::LoadMember m_self;
-    /// By group, each in the order in which they relay; the own group holds this gateway.
+    /// Members by group, each in the order of election; the own group includes this gateway.
     std::map<std::string, Members> m_groups;
     std::map<std::string, Contact> m_contacts;
-    /// Whom this gateway reports to, and when it last looked.
+    /// Relay that this gateway reports to, and the time of its last selection.
     std::string m_current_relay;
     Core::MonotonicTime m_last_choice;
-    /// Whom it takes for the relays of other groups, and when it last told them something.
+    /// Relays of the other groups, and the time of their last selection.
     std::map<std::string, std::string> m_current_peer_relays;
     Core::MonotonicTime m_last_peer_selection;
 };
