--- a/Libraries/LibGateway/DutySharing.cpp
+++ b/Libraries/LibGateway/DutySharing.cpp
@@ -12,13 +12,14 @@
 using Cluster::UsageWindow;
 using UsageMessages = google::protobuf::RepeatedPtrField<granitefield::protocol::GatewayUsage>;
 
-/// Counts in one datagram: some 40 KB of the 64 that it can have. The others go with the next one.
+/// Maximum number of counts in a datagram: some 40 KB of the 64 KB that it can hold. The others follow in the next one.
 constexpr std::size_t s_max_counts = 3'000;
-/// Of these, new ones. The rest is left for all that a newcomer is told.
+/// Maximum number of changed counts among them. The rest is reserved for the full state that a new gateway receives.
 constexpr std::size_t s_max_changes = 1'000;
-/// The longest name of a workspace that is taken from a datagram, in bytes.
+/// Maximum length of a workspace's name in a datagram, in bytes.
 constexpr std::size_t s_max_workspace_bytes = 256;
-/// The holder's last sign of life is left out when it is older: by then others have looked for themselves.
+/// Maximum age of the holder's last sign of life that is reported. Other gateways query the store themselves before
+/// that.
 constexpr Core::Milliseconds s_max_reported_age {60'000};
 
 std::uint32_t age_of(Core::MonotonicTime time, Core::MonotonicTime now)
--- a/Libraries/LibGateway/DutySharing.h
+++ b/Libraries/LibGateway/DutySharing.h
@@ -7,9 +7,9 @@
 
 namespace GraniteField::Gateway {
 
-/// What the gateways' datagrams about load carry for the duty of reporting usage: counts, clocks, and the word on the
-/// holder. A gateway tells its relay; relays tell each other and their gateways, so that every gateway has all of it
-/// and any of them may follow as the holder.
+/// Exchanges the data of the duty of reporting usage in the load datagrams of the gateways: counts, clocks, and the
+/// state of the holder. A gateway reports to its relay; relays exchange their reports and forward them to their
+/// gateways, so that any gateway can become the next holder.
 class DutySharing {
 public:
     explicit DutySharing(Cluster::SharedDuty& duty)
@@ -31,7 +31,7 @@
         Other,
     };
     void fill_relayed(granitefield::protocol::RelayedLoad&, Core::MonotonicTime now);
-    /// Adds all that is known; for gateways that have just begun, of which one may soon hold the duty.
+    /// Adds the full state, for gateways that have just started and may soon hold the duty.
     void fill_all(granitefield::protocol::RelayedLoad&);
     void receive_relayed(granitefield::protocol::RelayedLoad const&, Sender, Core::MonotonicTime now);
 
--- a/Libraries/LibGateway/ServerSignals.cpp
+++ b/Libraries/LibGateway/ServerSignals.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// The value of a field that holds a decimal number of at least 0.
+/// Returns the value of a field that holds a non-negative decimal number.
 std::optional<double> read_number(HTTP::FieldList const& fields, std::string const& name)
 {
     auto const* text = fields.find(name);
@@ -21,7 +21,7 @@
     return number;
 }
 
-/// Seconds, with a fraction or without. A date (RFC 9110, section 10.2.3) is ignored: clocks of hosts differ.
+/// Reads seconds with an optional fraction. A date (RFC 9110, section 10.2.3) is ignored: clocks of hosts differ.
 std::optional<Core::Milliseconds> read_retry_after(HTTP::FieldList const& fields)
 {
     constexpr double longest_seconds = 1e9;
--- a/Libraries/LibGateway/ServerSignals.h
+++ b/Libraries/LibGateway/ServerSignals.h
@@ -8,21 +8,21 @@
 
 namespace GraniteField::Gateway {
 
-/// What a backend server states about itself in the header fields of an answer.
+/// Statements of a backend server about itself in the header fields of an answer.
 struct ServerSignals {
-    /// Requests per second that it accepts from all gateways together.
+    /// Requests per second that the server accepts from all gateways together.
     std::optional<double> rate_limit;
-    /// It wants no further requests and will end.
+    /// The server is shutting down and accepts no further requests.
     bool is_leaving {false};
-    /// It did not run the request.
+    /// The server did not run the request.
     bool is_rejection {false};
-    /// Backoff that it requests from this gateway, with 503.
+    /// Backoff that the server requests from this gateway with a status of 503.
     std::optional<Core::Milliseconds> retry_after;
 
     bool operator==(ServerSignals const&) const = default;
 };
 
-/// Reads the statements in the head of an answer. Malformed fields are ignored.
+/// Reads the signals from the head of an answer. Malformed fields are ignored.
 [[nodiscard]] ServerSignals read_signals(HTTP::AnswerHead const&, Dialect const&);
 
 }
--- a/Libraries/LibGateway/SignalSharing.cpp
+++ b/Libraries/LibGateway/SignalSharing.cpp
@@ -64,7 +64,7 @@
 
 bool SignalSharing::is_within_bounds(Message const& message)
 {
-    // A newcomer gets all facts along with the due reports.
+    // A new gateway receives all facts in addition to the due reports.
     constexpr auto max_count = static_cast<int>(2 * Policy::s_most_reports);
     return message.rate_limits_size() <= max_count && message.leaving_size() <= max_count
         && std::ranges::all_of(message.rate_limits(), is_valid);
