--- a/Libraries/LibGateway/RegionRules.h
+++ b/Libraries/LibGateway/RegionRules.h
@@ -9,13 +9,13 @@
 
 namespace GraniteField::Gateway {
 
-/// Where requests may be served: a route or a workspace may be bound to some regions, and what is bound by both needs
-/// one of both. It asks the table in force, not the one by which the request came: a region that was taken away
-/// meanwhile is closed to what still waits. Failure domains of unknown regions are open only to what is not bound.
-/// On the gateway's thread only.
+/// Restricts routes and workspaces to regions; a request restricted by both needs a region that both allow. The rules
+/// are those of the table in force, not of the table at the arrival of the request, so that the removal of a region
+/// also affects waiting requests. Failure domains of unknown regions serve only requests without restrictions. On the
+/// gateway's thread only.
 class RegionRules {
 public:
-    /// The region of each failure domain.
+    /// `regions` holds the region of each failure domain.
     explicit RegionRules(std::map<std::string, std::string> regions)
         : m_regions(std::move(regions))
     {
@@ -23,7 +23,7 @@
 
     void apply(Table::Table const&);
 
-    /// Whether the request is bound to regions at all.
+    /// Whether the request is restricted to regions.
     [[nodiscard]] bool restricts(GatewayCall const&) const;
     /// Whether the request may be served in that failure domain.
     [[nodiscard]] bool allows(GatewayCall const&, std::string const& failure_domain) const;
@@ -34,7 +34,7 @@
     [[nodiscard]] static std::set<std::string> const* find(RegionsByName const&, std::string const& name);
 
     std::map<std::string, std::string> m_regions;
-    /// Regions by route and by workspace, for those that are bound.
+    /// Allowed regions by route and by workspace; names without an entry are not restricted.
     RegionsByName m_by_route;
     RegionsByName m_by_workspace;
 };
--- a/Libraries/LibGateway/ServerRoster.cpp
+++ b/Libraries/LibGateway/ServerRoster.cpp
@@ -36,7 +36,7 @@
 {
     auto const instance = server.instance;
     auto const known = m_entries.find(instance);
-    // A late word of an earlier life says nothing about the one that followed.
+    // A late entry of an earlier run says nothing about the current one.
     if (known != m_entries.end() && server.is_of_earlier_life_than(known->second.server))
         return;
     m_entries.insert_or_assign(instance, KnownServer {std::move(server), false});
@@ -47,7 +47,7 @@
     auto const found = m_entries.find(instance);
     if (found == m_entries.end())
         return;
-    // One that was leaving is not missed.
+    // A server that was leaving is removed at once.
     bool const is_leaving = found->second.server.state == Table::BackendServerState::Leaving;
     if (is_settling(now) && !is_leaving)
         found->second.is_missing = true;
--- a/Libraries/LibGateway/ServerRoster.h
+++ b/Libraries/LibGateway/ServerRoster.h
@@ -10,31 +10,31 @@
 
 namespace GraniteField::Gateway {
 
-/// Keeps the list of backend servers from what the platform's store tells: whole lists and single changes. While the
-/// store is away it can't hear the servers either, and their entries lapse though they serve. So what is missing
-/// right after the store's return stays in the list for a settling time, in which living servers come back.
+/// Maintains the list of backend servers from the lists and changes of the platform's store. During an outage of the
+/// store, entries expire although their servers run. Entries that are missing right after the outage stay listed for a
+/// settling time, in which running servers register again.
 class ServerRoster {
 public:
-    /// Living servers that reach the store are back in it about this long after its return.
+    /// Time after an outage of the store within which running servers register again.
     static constexpr Core::Milliseconds s_settling_time {2'000};
 
-    /// A whole list takes the place of what was known.
+    /// Replaces all entries by a full list.
     void apply_list(std::vector<Entry::ServerEntry>, Entry::ListRevision, Core::MonotonicTime now);
-    /// What a peer knew while the store was away from here, if it is newer: what the peer knows as gone is not waited
-    /// for.
+    /// Applies the list of a peer that had access to the store during an outage, if it is newer and not provisional.
+    /// Servers that are missing in it are removed at once.
     void adopt(Entry::ServerList const&);
     void apply_entry(Entry::ServerEntry);
     void apply_removal(std::string const& instance, Core::MonotonicTime now);
     [[nodiscard]] Entry::ListRevision revision() const { return m_revision; }
     void set_revision(Entry::ListRevision revision) { m_revision = revision; }
 
-    /// The store gave no answer.
+    /// The store did not answer.
     void note_store_lost() { m_is_store_lost = true; }
-    /// The store answers; after it was lost, the settling time begins.
+    /// The store answers. After an outage this starts the settling time.
     void note_store_available(Core::MonotonicTime now);
-    /// Drops what is still missing when the settling time is over, and says whether anything was dropped.
+    /// Removes entries that are still missing at the end of the settling time. Returns whether any were removed.
     bool settle(Core::MonotonicTime now);
-    /// When settle() has something to do; nothing when it has not.
+    /// End of the settling time; nothing outside of it.
     [[nodiscard]] std::optional<Core::MonotonicTime> settles_at() const;
 
     [[nodiscard]] Entry::ServerList list() const;
