--- a/Libraries/LibGateway/BackendFleet.cpp
+++ b/Libraries/LibGateway/BackendFleet.cpp
@@ -42,8 +42,8 @@
     for (auto const& record : list.servers) {
         listed.insert(record.instance);
         auto& view = m_servers[record.instance];
-        // What was believed of an earlier life holds for nothing in this one: what it has open and keeps, how it
-        // answers, whether it is dead. Attempts that were sent to that life keep their view of it.
+        // Load, kept prefixes, failures and suspicions of an earlier run do not apply to this one. Attempts that were
+        // sent to the earlier run keep its view.
         bool const is_new_run = view != nullptr && view->record().is_of_earlier_life_than(record);
         if (view != nullptr && record.is_of_earlier_life_than(view->record()))
             continue;
@@ -76,7 +76,7 @@
             view->set_record(record);
     }
     m_listed_count = listed.size();
-    // A line for each server of a large fleet would displace the other lines of a start.
+    // A line for each server of a large fleet would displace other lines of the start.
     if (is_first)
         m_log.write(
             Observe::LogEvent("server-list").add("servers", m_listed_count).add("revision", list.revision.value()));
@@ -123,7 +123,7 @@
 {
     for (auto& [instance, view] : m_servers) {
         bool const is_drained = drains.failure_domains.contains(view->record().failure_domain);
-        // Servers may be started anew while nothing is sent to them, and the list may tell that later.
+        // Servers may restart while drained, and the list may report that later.
         if (view->is_drained() && !is_drained)
             expect_cold(*view, now);
         view->set_drained(is_drained);
@@ -244,7 +244,7 @@
 {
     std::vector<Candidate> candidates;
     for (auto& server : servers_for(call)) {
-        // A fetch is work that the limit does not count.
+        // A fetch is work that the rate limit does not count.
         bool const is_source = !limit_of(server->id());
         candidates.push_back({std::move(server), 0, is_source});
     }
@@ -266,7 +266,7 @@
     auto const parts = shared_parts(call);
     if (parts.empty())
         return;
-    // Rendezvous hashing: each engine that comes or goes moves only its own share of the prompts.
+    // Rendezvous hashing: adding or removing an engine moves only its own share of the prompts.
     auto const key = parts.back().chain;
     std::ranges::sort(candidates, std::ranges::greater(),
         [key](auto const& item) { return Core::hash_bytes(item.server->record().instance, key); });
--- a/Libraries/LibGateway/BackendFleet.h
+++ b/Libraries/LibGateway/BackendFleet.h
@@ -24,13 +24,13 @@
 
 namespace GraniteField::Gateway {
 
-/// Why no server of a service can be chosen for a request.
+/// Reason why no server of a service can be chosen for a request.
 enum class Unavailability {
-    /// None is there, or those that are there were tried or fail.
+    /// There is none, or all were tried or fail.
     Servers,
-    /// Those that are there stand in regions where the request may not be served.
+    /// All are in regions that the request must not use.
     Regions,
-    /// Those that it may be served by stand in failure domains that are drained.
+    /// All that the request may use are in drained failure domains.
     Drains,
 };
 
@@ -42,71 +42,71 @@
     Core::MonotonicTime anywhere;
 };
 
-/// The backend servers of all services, and the choice among them. On the gateway's thread only.
+/// Views of the backend servers of all services, and the choice among them. On the gateway's thread only.
 class BackendFleet {
 public:
     using Settings = PlacementPolicy::Settings;
 
-    /// Time without an answer of a rate-limited server after which a request is sent there to learn whether the limit
-    /// still holds.
+    /// Time without an answer of a rate-limited server after which a request is sent there to find out whether the
+    /// limit still holds.
     static constexpr Core::Milliseconds s_recheck_interval {1'000};
 
-    /// Time after the last statement of a limit during which its end is reported again and again: a gateway that
-    /// received a delayed report considers the limit newer than its end.
+    /// Time after the last statement of a limit during which its end is reported repeatedly: a gateway that received a
+    /// delayed report considers the limit newer than its end.
     static constexpr Core::Milliseconds s_confirmation_time {60'000};
 
-    /// How often the engines' readings are looked at.
+    /// Interval at which the prefill load of the engines is sampled.
     static constexpr Core::Milliseconds s_sampling_interval {100};
 
     BackendFleet(Settings, Observe::EventLog&);
 
     void set_settings(Settings settings) { m_policy.set_settings(std::move(settings)); }
 
-    /// Takes the list; servers that it lacks get nothing new.
+    /// Applies the server list; servers that are not listed receive no new requests.
     void apply(Entry::ServerList const&, Core::MonotonicTime now);
-    /// Servers in drained failure domains get nothing new.
+    /// Applies the drains; servers in drained failure domains receive no new requests.
     void apply(Entry::DrainList const&, Core::MonotonicTime now);
-    /// What the table says of services and of regions.
+    /// Applies the services and region restrictions of the table.
     void apply(Table::Table const&);
-    /// The gateways that share what cold servers bear; null before this one knows them.
+    /// Sets the gateways that share the rates of cold and rate-limited servers; null while they are unknown.
     void apply(Entry::LoadMembers const*);
 
-    /// The best backend server that is not among `excluded`; no server when there is none.
+    /// Chooses the best backend server that is not in `excluded`; no server if there is none.
     [[nodiscard]] Choice choose(
         GatewayCall const&, std::set<std::string> const& excluded, Core::MonotonicTime now) const;
 
-    /// Why choose() has no server for the request.
+    /// Reason why choose() has no server for the request.
     [[nodiscard]] Unavailability unavailability(GatewayCall const&) const;
-    /// The next opening for a request that choose() finds no server for; nullopt if it is not known.
+    /// The earliest time at which the request may be sent to any server; nullopt if it is not known.
     [[nodiscard]] std::optional<EarliestSend> earliest_send(GatewayCall const&, Core::MonotonicTime now) const;
-    /// Takes the statements of an answer to a request that was sent at that time.
+    /// Applies the signals of an answer to a request that was sent at that time.
     void note_signals(BackendView&, ServerSignals const&, Core::MonotonicTime sent, Core::MonotonicTime received);
-    /// Takes a report of another gateway.
+    /// Applies a report of another gateway.
     void receive_report(Policy::RateLimitFacts::Report const&, Policy::Relaying, Core::MonotonicTime now);
     void receive_report(Policy::LeavingFacts::Report const&, Policy::Relaying, Core::MonotonicTime now);
     [[nodiscard]] Policy::RateLimitFacts& rate_limits() { return m_rate_limits; }
     [[nodiscard]] Policy::LeavingFacts& leaving_facts() { return m_leaving_facts; }
     /// Requests per second that the server accepts from all gateways; nullopt for no limit.
     [[nodiscard]] std::optional<double> rate_limit_of(std::uint64_t server) const;
-    /// A request goes to the server.
+    /// Records a request sent to the server.
     void note_sent(BackendView&, Core::MonotonicTime now);
     [[nodiscard]] Entry::DrainList const& drains() const { return m_drains; }
 
-    /// Adds the instances that live at one of the places (hashes of addresses).
+    /// Adds the instances at the given places (hashes of addresses).
     void add_servers_at(std::span<std::uint64_t const> places, std::set<std::string>& instances) const;
 
-    /// An engine gave the first event of a prompt of which it had to read so much.
+    /// Records the time to the first event of a prompt of which the engine had to prefill `unread_tokens`.
     void note_first_event(std::string const& service, std::uint32_t unread_tokens, Core::Milliseconds wait);
 
-    /// An event of a stream came after that pause.
+    /// Records the pause before an event of a stream.
     void note_pause(std::string const& service, BackendView const&, EngineModel::Time pause);
 
-    /// Looks at what the engines have to read; to be called often.
+    /// Samples the prefill load of the engines. To be called often.
     void sample_prefill_load(Core::MonotonicTime now);
 
     /// Number of servers in the newest list.
     [[nodiscard]] std::size_t listed_count() const { return m_listed_count; }
-    /// The server of that id, or null.
+    /// The server with that id, or null.
     [[nodiscard]] std::shared_ptr<BackendView> find(std::uint64_t id) const;
     [[nodiscard]] std::map<std::string, std::shared_ptr<BackendView>> const& all() const { return m_servers; }
 
@@ -116,16 +116,16 @@
     void rank_by_prompt(std::vector<Candidate>&, GatewayCall const&) const;
     void log_change(Entry::ServerEntry const&, std::string_view change, Entry::ListRevision) const;
 
-    /// Whether a cold server may get another request from this gateway now.
+    /// Whether a cold server may receive another request from this gateway now.
     [[nodiscard]] bool has_cold_share(BackendView const&, Core::MonotonicTime now) const;
     [[nodiscard]] std::optional<Policy::SharedRateLimit> limit_of(std::uint64_t server) const;
-    /// The earliest time from `now` on that the server's statements allow for a request of this gateway.
+    /// The earliest time from `now` on at which this gateway may send a request, by the server's statements.
     [[nodiscard]] Core::MonotonicTime next_send(BackendView const&, Core::MonotonicTime now) const;
     /// Whether an answer without a limit is evidence that other gateways may lack.
     [[nodiscard]] bool disproves_limit(BackendView const&, ServerSignals const&, Core::MonotonicTime received) const;
     [[nodiscard]] EarliestSend earliest_send_to(BackendView const&, Core::MonotonicTime now) const;
     [[nodiscard]] bool is_recheck_due(BackendView const&, Core::MonotonicTime now) const;
-    /// A server whose rate limit is due for a recheck, if the request would still meet its target there.
+    /// Chooses a server whose rate limit is due for a recheck, if the request would still meet its target there.
     [[nodiscard]] std::optional<Choice> choose_for_recheck(
         std::vector<Candidate> const&, GatewayCall const&, Core::MonotonicTime now) const;
     /// The serving servers that the request is allowed to use.
@@ -133,7 +133,7 @@
     void mark_leaving(std::uint64_t server, std::string_view source) const;
     void log_limit(std::uint64_t server, std::optional<double> before, std::string_view source) const;
 
-    /// It may be cold now without having said so.
+    /// Marks the server as possibly cold before its entry says so.
     void expect_cold(BackendView&, Core::MonotonicTime now) const;
     /// Whether the view can be dropped: its server is not listed, and has neither attempts nor a backoff.
     [[nodiscard]] static bool is_removable(std::shared_ptr<BackendView> const&, Core::MonotonicTime now);
--- a/Libraries/LibGateway/BackendFleetSignals.cpp
+++ b/Libraries/LibGateway/BackendFleetSignals.cpp
@@ -1,4 +1,4 @@
-// The part of the fleet that follows what backend servers state about themselves in their answers.
+// Handling of the statements of backend servers about themselves.
 #include <LibGateway/BackendFleet.h>
 
 #include <algorithm>
@@ -32,7 +32,7 @@
     std::optional<EarliestSend> next;
     for (auto const& view : servers_for(call)) {
         auto const send = earliest_send_to(*view, now);
-        // Something else keeps the request from this server, for an unknown time.
+        // The signals allow a send now, so another cause, of unknown duration, keeps the request from this server.
         if (send.here <= now)
             return std::nullopt;
         auto const first = next.value_or(send);
--- a/Libraries/LibGateway/BackendView.h
+++ b/Libraries/LibGateway/BackendView.h
@@ -15,13 +15,13 @@
 
 namespace GraniteField::Gateway {
 
-/// What is open at a backend server.
+/// Load of open attempts at a backend server.
 struct ServerLoad {
-    /// Attempts.
+    /// Number of open attempts.
     unsigned open {0};
-    /// Prompt tokens that the engine still has to read for them.
+    /// Prompt tokens of these attempts that the engine has yet to prefill.
     std::uint64_t unread_tokens {0};
-    /// Those among them that miss their pause target while the engine reads a long prompt (EngineModel).
+    /// Number of attempts that miss their pause target while the engine prefills a long prompt (EngineModel).
     unsigned pause_sensitive {0};
 
     ServerLoad& operator+=(ServerLoad const& other)
@@ -45,7 +45,7 @@
     friend ServerLoad operator+(ServerLoad left, ServerLoad const& right) { return left += right; }
 };
 
-/// A number that decays to zero with time, for what should be forgotten.
+/// Value that decays exponentially to zero.
 class DecayingValue {
 public:
     static constexpr std::chrono::duration<double> s_half_life {2.0};
@@ -67,7 +67,7 @@
     Core::MonotonicTime m_time;
 };
 
-/// The mean over the last seconds of something that is looked at now and then.
+/// Exponentially weighted mean over the last seconds of a value sampled at irregular intervals.
 class DecayingMean {
 public:
     static constexpr std::chrono::duration<double> s_half_life {1.5};
@@ -89,11 +89,12 @@
     Core::MonotonicTime m_time;
 };
 
-/// What a gateway knows of one life of a backend server: its entry in the list, the gateway's own load on it, and how
-/// it has answered of late. On the gateway's thread only.
+/// State of one run of a backend server: its entry in the list, the load on it, and its recent failures. On the
+/// gateway's thread only.
 class BackendView {
 public:
-    /// `spread`, from 0 to 1, is this gateway's own: how much longer than the shortest time it leaves a server alone.
+    /// `spread`, from 0 to 1, differs between gateways. It sets which part of the spread is added to the time for which
+    /// this gateway avoids the server.
     explicit BackendView(Entry::ServerEntry record, double spread = 0)
         : m_record(std::move(record))
         , m_id(id_of(m_record))
@@ -104,31 +105,32 @@
     [[nodiscard]] Entry::ServerEntry const& record() const { return m_record; }
     void set_record(Entry::ServerEntry record) { m_record = std::move(record); }
 
-    /// Whether it is in the newest list and not leaving, neither by the list nor by its own statement.
+    /// Whether the server is in the newest list and not leaving, neither by the list nor by its own statement.
     [[nodiscard]] bool is_serving() const
     {
         return m_is_listed && !m_states_leaving && m_record.state == Table::BackendServerState::Serving;
     }
-    /// An answer stated that the server is leaving. Holds for the rest of the run, even if a later list shows it as
-    /// serving.
+    /// Records that an answer stated that the server is leaving. Holds for the rest of the run, even if a later list
+    /// shows it as serving.
     void set_states_leaving() { m_states_leaving = true; }
 
     /// The backoff that the server requested from this gateway.
     [[nodiscard]] Policy::ServerBackoff& backoff() { return m_backoff; }
     [[nodiscard]] Policy::ServerBackoff const& backoff() const { return m_backoff; }
 
-    /// Whether it is serving and its failure domain is not drained.
+    /// Whether the server is serving and its failure domain is not drained.
     [[nodiscard]] bool accepts_new_requests() const { return is_serving() && !m_is_drained; }
-    /// Whether the operators drain its failure domain.
+    /// Whether operators have drained its failure domain.
     [[nodiscard]] bool is_drained() const { return m_is_drained; }
     void set_drained(bool value) { m_is_drained = value; }
 
-    /// Whether it bears few requests yet, by its own word or by what happened to it.
+    /// Whether the server can handle only few requests yet, by its own entry or by expect_cold_until().
     [[nodiscard]] bool is_cold(Core::MonotonicTime now) const
     {
         return now < std::max(m_record.cold_until, m_cold_until);
     }
-    /// It has begun, or comes back from where nothing was sent to it: it may be cold without having said so yet.
+    /// Marks the server as cold until that time. A server that starts, or receives requests again after a pause, may be
+    /// cold before its entry says so.
     void expect_cold_until(Core::MonotonicTime time) { m_cold_until = std::max(m_cold_until, time); }
 
     [[nodiscard]] bool is_listed() const { return m_is_listed; }
@@ -138,57 +140,57 @@
         m_is_listed = false;
         m_unlisted_since = now;
     }
-    /// When it disappeared from the list; meaningless while it is listed.
+    /// Time at which the server left the list; meaningless while it is listed.
     [[nodiscard]] Core::MonotonicTime unlisted_since() const { return m_unlisted_since; }
 
-    /// Whether a recent failure says to leave it alone for now.
+    /// Whether the server is avoided for now because of a recent failure.
     [[nodiscard]] bool is_avoided(Core::MonotonicTime now) const { return now < m_avoided_until; }
 
-    /// Since when it is suspected to be dead; nothing while it is not, and where it has answered since.
+    /// Time since which the server is suspected to be dead; nothing while it is not suspected.
     [[nodiscard]] std::optional<Core::MonotonicTime> suspected_since() const { return m_suspected_since; }
 
-    /// What this gateway has open there.
+    /// Load of this gateway on the server.
     [[nodiscard]] ServerLoad const& own_load() const { return m_own_load; }
-    /// The same for all gateways, as far as their reports tell.
+    /// Load of all gateways on the server, as far as reported.
     [[nodiscard]] ServerLoad load() const { return m_own_load + m_peer_load; }
     void add_peer_load(ServerLoad const& load) { m_peer_load += load; }
     void remove_peer_load(ServerLoad const& load) { m_peer_load -= load; }
-    /// The hash of the instance and of its birth, which stands for this life of it in datagrams.
+    /// Hash of the instance and its start time, which identifies this run of the server in datagrams.
     [[nodiscard]] std::uint64_t id() const { return m_id; }
     [[nodiscard]] PrefixMemory& prefixes() { return m_prefixes; }
     [[nodiscard]] PrefixMemory const& prefixes() const { return m_prefixes; }
 
-    /// Its present life, as gateways tell each other of crashes.
+    /// Identity of this run in the crash reports of the gateways.
     [[nodiscard]] Policy::ServerLife life() const
     {
         return {m_id, Core::hash_bytes(m_record.address.to_string()), Core::hash_bytes(m_record.service)};
     }
 
-    /// An attempt begins; `load` is its part of the server's load until it ends.
+    /// Adds the load of an attempt that starts.
     void begin_attempt(ServerLoad const& load) { m_own_load += load; }
 
-    /// The engine has read the attempt's prompt: its first event came.
+    /// Removes the prefill load of an attempt after its first event.
     void note_read(ServerLoad& load)
     {
         m_own_load.unread_tokens -= load.unread_tokens;
         load.unread_tokens = 0;
     }
 
-    /// The attempt is over; may be called again.
+    /// Removes the load of an attempt that has ended. Idempotent.
     void end_attempt(ServerLoad& load) { m_own_load -= std::exchange(load, {}); }
 
-    /// Share of the last seconds in which the engine had a long prompt to read, for all that any gateway sent there.
+    /// Fraction of the last seconds, from 0 to 1, in which the engine had a long prompt to prefill, from any gateway.
     [[nodiscard]] double prefill_fraction() const { return m_prefill_fraction.value(); }
-    /// What it has to read now, as a part of a long reading.
+    /// Records the present prefill load as a fraction of a long prefill.
     void note_prefill_load(double fraction, Core::MonotonicTime now)
     {
         m_prefill_fraction.note(std::min(1.0, fraction), now);
     }
 
-    /// Share of recent attempts that failed, weighed towards the newest and forgotten with time.
+    /// Fraction of recent attempts that failed, weighted towards the newest, decaying with time.
     [[nodiscard]] double failure_rate(Core::MonotonicTime now) const { return m_failure_rate.at(now); }
 
-    /// It answered well; says whether it was suspected.
+    /// Records a successful answer. Returns whether the server was avoided.
     bool note_success(Core::MonotonicTime now)
     {
         m_failure_rate.set(m_failure_rate.at(now) * (1 - s_newest_attempt_weight), now);
@@ -196,7 +198,7 @@
         return note_alive();
     }
 
-    /// It answers, this gateway or another one; says whether it was suspected.
+    /// Records that the server answers this or another gateway. Returns whether it was avoided.
     bool note_alive()
     {
         m_suspected_since.reset();
@@ -205,11 +207,11 @@
         return std::exchange(m_avoidance_count, 0U) > 0;
     }
 
-    /// This gateway or others found it dead. `gateways` is how many may try it again: their times are spread so that
-    /// the first one's finding reaches the others before they try.
+    /// Records that this or another gateway suspects the server to be dead. `gateways` is the number of gateways that
+    /// may retry it: their retries are spread so that the result of the first one reaches the others before they retry.
     void note_suspected(std::size_t gateways, Core::MonotonicTime now)
     {
-        // Many find the same out at once. What is found out later is that it is still dead.
+        // Many gateways detect the same failure at once; later reports are about failed retries.
         if (Core::elapsed(m_avoided_since, now) < s_propagation_time)
             return;
         avoid(now, s_spread_per_gateway * static_cast<int>(gateways));
@@ -217,7 +219,7 @@
             m_suspected_since = now;
     }
 
-    /// It answered badly or not at all.
+    /// Records a failed answer.
     void note_failure(Core::MonotonicTime now)
     {
         m_failure_rate.set(m_failure_rate.at(now) * (1 - s_newest_attempt_weight) + s_newest_attempt_weight, now);
@@ -225,7 +227,7 @@
             avoid(now, {});
     }
 
-    /// It could not be connected to.
+    /// Records a failed connection.
     void note_unreachable(std::size_t gateways, Core::MonotonicTime now)
     {
         m_failure_rate.set(m_failure_rate.at(now) * (1 - s_newest_attempt_weight) + s_newest_attempt_weight, now);
@@ -244,16 +246,17 @@
         return Core::hash_bytes(record.instance, static_cast<std::uint64_t>(record.born.time_since_epoch().count()));
     }
 
-    /// What the newest attempt counts in the failure rate.
+    /// Weight of the newest attempt in the failure rate.
     static constexpr double s_newest_attempt_weight = 0.25;
-    /// Failures one after the other from which the server is left alone for a while.
+    /// Number of consecutive failures from which the server is avoided for a while.
     static constexpr unsigned s_failures_to_avoid = 3;
-    /// How long it is left alone first, and at most; it doubles with each further failure.
+    /// Time for which the server is avoided at first. It doubles with each further failure, up to the maximum.
     static constexpr Core::Milliseconds s_min_avoidance {250};
     static constexpr unsigned s_max_doublings = 3;
-    /// Within it news of a server reach all gateways.
+    /// Time within which the report of one gateway reaches all others.
     static constexpr Core::Milliseconds s_propagation_time {150};
-    /// With this much for each gateway about five try it again before they have heard from the first.
+    /// Spread of the retries for each gateway. At this value some five gateways retry before they receive the result of
+    /// the first.
     static constexpr Core::Milliseconds s_spread_per_gateway {30};
     static constexpr Core::Milliseconds s_max_spread {3'000};
 
