--- a/Meta/deliberate-breaks.sh
+++ b/Meta/deliberate-breaks.sh
@@ -31,7 +31,7 @@
     "17|Libraries/LibGateway/GatewayRunAnswers.cpp|s/return Status::promises_not_run(head.status) \&\& .*/return head.status < 0;/|AttemptRulesTest|*ARefusalWithoutItsMark*"
     "18|Libraries/LibHTTP/EventFramer.cpp|s/bool const was_given = .*/bool const was_given = false;/|AttemptRulesTest|*AStreamGoesOnElsewhere*"
     "19|Libraries/LibGateway/BackendView.h|s/return m_is_listed \&\& !m_states_leaving \&\& m_record.state == .*/return m_is_listed;/|AttemptRulesTest|*ALeavingServer*"
-    "20|Libraries/LibGateway/ServerRoster.cpp|s/if (is_settling(now) \&\& !is_leaving)/if (is_settling(now) \&\& is_leaving)/|ServerRosterTest|*WaitsForWhat*"
+    "20|Libraries/LibGateway/ServerRoster.cpp|s/if (is_settling(now) \&\& !is_leaving)/if (is_settling(now) \&\& is_leaving)/|ServerRosterTest|*ExpiredInAStoreOutage*"
     "21|Libraries/LibEntry/SharedServers.h|s/if (!m_list->is_provisional)/if (m_list)/|ServerRosterTest|*Provisional*"
     "22|Libraries/LibGateway/CallerConnection.cpp|s/if (m_state == State::Answering \&\& m_on_gone)/if (m_state == State::Closing \&\& m_on_gone)/|AttemptRulesTest|*WhenTheCallerLeaves*"
     "23|Libraries/LibGateway/GatewayServer.cpp|s/if (auto const error = refuse_for_stop(call, now))/if (auto const error = refuse_for_stop(call, now); error \&\& !m_drain_begun)/|AttemptRulesTest|*ThePlannedStop*"
@@ -39,7 +39,7 @@
     '25|Libraries/LibGateway/PlacementPolicy.cpp|s/harmed_streams(server, estimate.unread_tokens, task) . s_late/0 * harmed_streams(server, estimate.unread_tokens, task) * s_late/|PauseRulesTest|*LongPromptsKeepAway*'
     '26|Libraries/LibEntry/PullSchedule.cpp|s/if (is_under_way)/if (is_under_way \&\& false)/|PullScheduleTest|*OnePull*'
     '27|Libraries/LibPlatform/ObjectClient.cpp|s/list_path(kind, has_names ?/list_path(kind, has_names \&\& false ?/|GatewayProcessTest|*LongList*'
-    '28|Libraries/LibGateway/LoadSharing.cpp|s/m_previous_placements = std::exchange(m_placements, {});/m_placements.clear();/|LoadExchangeTest|*ToldTwice*'
+    '28|Libraries/LibGateway/LoadSharing.cpp|s/m_previous_placements = std::exchange(m_placements, {});/m_placements.clear();/|LoadExchangeTest|*SendsAPlacementTwice*'
     '29|Libraries/LibGateway/PlacementPolicy.cpp|s/ + slot_loss(load, server.record().slots);/ + 0 * slot_loss(load, server.record().slots);/|PauseRulesTest|*EnginesSlots*'
     '30|Libraries/LibGateway/GatewayRun.cpp|s/any_of(dialect.engine_orders, is_named)/any_of(dialect.engine_orders, [](auto const\&) { return false; })/|RequestRulesTest|*OrdersToEngines*'
     '31|Libraries/LibGateway/GatewayRun.cpp|s/m_choice.forgo_fetch();/static_cast<void>(0);/|AttemptRulesTest|*AFetchThatFails*'
@@ -52,7 +52,7 @@
     '39|Libraries/LibGateway/FailureDetector.cpp|s/if (breaks.size() < s_min_breaks)/if (breaks.size() < 100 * s_min_breaks)/|LoadSharingTest|*StreamsBreakTogether*'
     '40|Libraries/LibGateway/GatewayRun.cpp|s/return suspected \&\& last_input/return false \&\& suspected \&\& last_input/|AttemptRulesTest|*OthersFoundDead*'
     '41|Libraries/LibGateway/EarlyRequests.h|s/return std::min(s_longest_wait, patience/return 0 * std::min(s_longest_wait, patience/|AttemptRulesTest|*BeforeTheFirstTableWaits*'
-    '36|Libraries/LibGateway/LoadSharing.cpp|s/load = difference(load, found->second);/load = difference(load, {});/|LoadSharingTest|*KnowsWhatAny*'
+    '36|Libraries/LibGateway/LoadSharing.cpp|s/load = difference(load, found->second);/load = difference(load, {});/|LoadSharingTest|*PropagatesLoads*'
     '42|Libraries/LibCluster/UsageReporter.h|s/return is_free ? m_known/return !is_free ? m_known->seen : is_free ? m_known/|UsageReporterTest|*CutOffFromItsPeers*'
     '43|Libraries/LibCluster/UsageReporter.h|s/bool const can_send = now < m_term->valid_until;/bool const can_send = true;/;s/std::min(m_settings.call_timeout, Core::elapsed(now, m_term->valid_until));/m_settings.call_timeout;/|UsageReporterTest|*WhateverFails*'
     '44|Libraries/LibCluster/UsageReporter.h|s/record.recorded_through = report.window;/static_cast<void>(report.window);/|UsageReporterTest|*EachWindowOnce*'
@@ -66,23 +66,23 @@
     '53|Libraries/LibPolicy/CrashLedger.cpp|s/return good \&\& crash.time - \*good <= s_good_memory;/return good \&\& crash.time < *good;/|CrashLedgerTest|*HoldsNobodyWhoEndedWell*'
     '54|Libraries/LibPolicy/CrashLedger.h|s/s_least_places = 2;/s_least_places = 1;/|CrashLedgerTest|*HostThatCrashes*'
     '55|Libraries/LibPolicy/CrashLedger.h|s/s_telling_time {1.000}/s_telling_time {1}/|CrashSharingTest|*ThreeDatagramsInTen*'
-    '56|Libraries/LibPolicy/CrashLedger.h|s/s_refresh {300}/s_refresh {100000000}/|CrashSharingTest|*WhoBeginsLater*'
-    '57|Libraries/LibGateway/GatewayRun.cpp|s/return ledger.count_quarantined() > 0/return ledger.count_quarantined() > 9999/|CrashRulesTest|*ReachesThreeMore*'
-    '58|Libraries/LibGateway/CrashDetector.cpp|s/if (!server.accepts_new_requests())/if (false)/|CrashRulesTest|*LeavesIsNoCrash*'
-    '59|Libraries/LibGateway/BackendFleet.cpp|s/bool const is_new_run = view != nullptr \&\& /bool const is_new_run = view == nullptr \&\& /|BackendFleetTest|*NothingThatWasBelieved*'
+    '56|Libraries/LibPolicy/CrashLedger.h|s/s_refresh {300}/s_refresh {100000000}/|CrashSharingTest|*RestartedGateways*'
+    '57|Libraries/LibGateway/GatewayRun.cpp|s/return ledger.count_quarantined() > 0/return ledger.count_quarantined() > 9999/|CrashRulesTest|*ToThreeMore*'
+    '58|Libraries/LibGateway/CrashDetector.cpp|s/if (!server.accepts_new_requests())/if (false)/|CrashRulesTest|*EndOfALeavingServer*'
+    '59|Libraries/LibGateway/BackendFleet.cpp|s/bool const is_new_run = view != nullptr \&\& /bool const is_new_run = view == nullptr \&\& /|BackendFleetTest|*ResetsTheView*'
     '60|Libraries/LibCore/Compression.cpp|s/compressed.resize(size);/compressed.resize(compressed.size());/|PeerExchangeTest|*ManyNewRoutes*'
     '61|Libraries/LibEntry/PullSchedule.cpp|s/m_offers.push_back({std::move(origin), versions});/m_offers.assign(1, {std::move(origin), versions});/|PullScheduleTest|*EverybodyElse*'
     '62|Libraries/LibEntry/WatchDuty.cpp|s/    wake_if_sooner(now);/    static_cast<void>(now);/|WatchDutyTest|*LooksInTime*'
     '63|Libraries/LibPlatform/ObjectFollower.h|s/m_revision = std::max(\*m_revision, proven_by(answer));/m_revision = std::max(*m_revision, answer.revision);/|ObjectFollowerTest|*HidesNoChange*'
-    '64|Libraries/LibGateway/GatewayServer.cpp|s/    if (is_behind())/    if (is_behind() \&\& false)/|BehindTest|*NotRefusedByTheOldOne*'
+    '64|Libraries/LibGateway/GatewayServer.cpp|s/    if (is_behind())/    if (is_behind() \&\& false)/|BehindTest|*BeforeRefusing*'
     '65|Libraries/LibEntry/WatchElection.cpp|s/    m_silent_since = silent_since() + .stall;/    static_cast<void>(now);/|WatchElectionTest|*DuringItsOwnStall*'
     '66|Libraries/LibGateway/BackendView.h|s/return m_is_listed \&\& !m_is_drained \&\&/return m_is_listed \&\&/|DrainRulesTest|*ADrainedDomain*'
     '67|Libraries/LibPolicy/ColdShares.cpp|s/return m_ranks.rank_for(server) < senders_for(rate);/return m_ranks.rank_for(server) < 10 * senders_for(rate);/|ColdSharesTest|*NoSecondHasMore*'
-    '68|Libraries/LibGateway/RegionRules.cpp|s/return is_allowed_by(find(m_by_route, call.route->name)) \&\&/return/|DrainRulesTest|*ARouteIsServed*'
+    '68|Libraries/LibGateway/RegionRules.cpp|s/return is_allowed_by(find(m_by_route, call.route->name)) \&\&/return/|DrainRulesTest|*ServesARouteOnly*'
     '69|Libraries/LibEntry/ServerChanges.cpp|s/if (digest_of(list) != changes.digest)/if (false)/|ServerChangesTest|*AnotherList*'
     '71|Libraries/LibGateway/GatewayRun.h|s/return held_bytes > settings.held_limit;/return false;/|SlowReadersTest|*HundredsThatReadNothing*'
     '72|Libraries/LibGateway/CallerConnection.cpp|s/> limits.idle_time)$/> 1000 * limits.idle_time)/|SlowReadersTest|*NobodyReads*'
-    '73|Libraries/LibGateway/BackendFleet.cpp|s/if (view->is_drained() \&\& !is_drained)/if (false)/|DrainRulesTest|*TakenForCold*'
+    '73|Libraries/LibGateway/BackendFleet.cpp|s/if (view->is_drained() \&\& !is_drained)/if (false)/|DrainRulesTest|*ColdAfterADrain*'
     '74|Libraries/LibGateway/BackendFleet.cpp|s/next_send(server, now) > now;/server.record().instance.empty();/|SignalSharingTest|*KeepsALimit*'
     '75|Libraries/LibPolicy/LimitShares.cpp|s/to_ticks(divide(limit.rate).interval);/to_ticks(0 * divide(limit.rate).interval);/|LimitSharesTest|*AnyNumberOfGateways*'
     '76|Libraries/LibPolicy/LimitShares.cpp|s/Core::mix(server, static_cast<std::uint64_t>(term))/server + 0 * static_cast<std::uint64_t>(term)/|LimitSharesTest|*FewGatewaysWithRequests*'
--- a/Tests/LibGateway/BackendFleetTest.cpp
+++ b/Tests/LibGateway/BackendFleetTest.cpp
@@ -1,4 +1,4 @@
-// What is believed of a backend server ends with its life, also where the next one has the same name.
+// Tests that the state kept for a backend server ends with its run, also when the next run has the same name.
 #include "NullDescriptor.h"
 
 #include <LibCore/Text.h>
@@ -21,10 +21,10 @@
 
 Core::MonotonicTime const s_start {1h};
 
-class ServerLives : public ::testing::Test {
+class ServerRuns : public ::testing::Test {
 protected:
-    /// The list tells of the server's life that began then.
-    void follow(int born)
+    /// Applies a list with the server's run that started at the given time.
+    void apply_run(int born)
     {
         Entry::ServerList list;
         list.servers.push_back({"i-1", "svc", *Core::Address::from_string("127.0.0.1:9"), "here", 8,
@@ -42,19 +42,19 @@
 
 }
 
-TEST_F(ServerLives, NothingThatWasBelievedHoldsForTheNextLife)
+TEST_F(ServerRuns, ResetsTheViewForTheNextRun)
 {
-    follow(1'000);
+    apply_run(1'000);
     auto const before = view();
     std::vector<PromptPart> const prompt {{7, 100}};
     before->prefixes().note_read(prompt);
     before->begin_attempt({1, 100, 0});
     before->note_unreachable(1, s_start);
-    LoadSources others(m_fleet);
-    ASSERT_TRUE(others.apply(5, 1, LoadSources::ReportKind::Full, {{before->id(), {3, 300, 0}}}, s_start));
+    LoadSources sources(m_fleet);
+    ASSERT_TRUE(sources.apply(5, 1, LoadSources::ReportKind::Full, {{before->id(), {3, 300, 0}}}, s_start));
     ASSERT_EQ(before->load().open, 4U);
 
-    follow(2'000);
+    apply_run(2'000);
     auto const after = view();
     EXPECT_EQ(after->prefixes().kept_tokens(prompt), 0U);
     EXPECT_EQ(after->load(), ServerLoad());
@@ -62,10 +62,10 @@
     EXPECT_FALSE(after->suspected_since());
     EXPECT_EQ(after->failure_rate(s_start), 0);
     EXPECT_TRUE(after->accepts_new_requests());
-    // What was sent to the life before is not there any more.
+    // Requests that were sent to the earlier run are lost.
     EXPECT_FALSE(before->is_listed());
-    // A late word on the load of the life before says nothing about this one.
-    ASSERT_TRUE(others.apply(5, 2, LoadSources::ReportKind::Full, {{before->id(), {4, 400, 0}}}, s_start));
+    // A late report of the load of the earlier run does not affect this one.
+    ASSERT_TRUE(sources.apply(5, 2, LoadSources::ReportKind::Full, {{before->id(), {4, 400, 0}}}, s_start));
     EXPECT_EQ(view()->load(), ServerLoad());
     EXPECT_NE(before->life().life, after->life().life);
     EXPECT_EQ(before->life().place, after->life().place);
@@ -97,19 +97,19 @@
     EXPECT_NE(written.find(R"("change":"added","instance":"i-last")"), std::string::npos);
 }
 
-TEST_F(ServerLives, AListOfTheLifeBeforeChangesNothing)
+TEST_F(ServerRuns, IgnoresAListOfAnEarlierRun)
 {
-    follow(2'000);
+    apply_run(2'000);
     auto const now = view();
     now->begin_attempt({1, 100, 0});
-    follow(1'000);
+    apply_run(1'000);
     EXPECT_EQ(view(), now);
     EXPECT_EQ(view()->load().open, 1U);
 }
 
 namespace {
 
-/// A gateway that is alone before backend servers of one service.
+/// A single gateway in front of backend servers of one service.
 class ServerFleet : public ::testing::Test {
 protected:
     explicit ServerFleet(std::vector<std::string> instances)
@@ -151,7 +151,7 @@
     std::vector<std::string> m_instances;
 };
 
-/// Two engines, of which the first keeps a prompt and has much to read.
+/// Two engines, of which the first holds the prefix of a prompt and has much to prefill.
 class FetchSources : public ServerFleet {
 protected:
     FetchSources()
@@ -163,7 +163,7 @@
     }
 };
 
-/// One server, which states something in its answers.
+/// One server, which sends signals in its answers.
 class ServerStatements : public ServerFleet {
 protected:
     ServerStatements()
@@ -171,7 +171,7 @@
     {
     }
 
-    /// Takes an answer that came as soon as its request was sent.
+    /// Applies an answer that was received at the time of its request.
     void take_answer(ServerSignals const& signals, Core::MonotonicTime now)
     {
         m_fleet.note_signals(server(), signals, now, now);
@@ -205,9 +205,9 @@
 
 TEST_F(FetchSources, ExcludeEnginesInBackoff)
 {
-    ServerSignals resting;
-    resting.retry_after = 3s;
-    m_fleet.note_signals(server(), resting, s_start, s_start);
+    ServerSignals backing_off;
+    backing_off.retry_after = 3s;
+    m_fleet.note_signals(server(), backing_off, s_start, s_start);
     EXPECT_EQ(choose().source, nullptr);
 }
 
--- a/Tests/LibGateway/BehindTest.cpp
+++ b/Tests/LibGateway/BehindTest.cpp
@@ -1,9 +1,9 @@
-// What a gateway answers that knows that it does not have the newest table.
+// Guards against 404 and 401 for routes and keys that have been added and confirmed, which callers take as final and
+// don't retry.
 //
-// What users saw: 404 and 401 for routes and keys that had been added and confirmed. Callers take these as final and do
-// not come back. Order of events: another gateway tells, with the datagrams about load, that a newer version is in
-// force there; this one goes on refusing by its own for as long as the newer one takes to come. Evidence: the log's
-// line of such a refusal names a newest known version above its own.
+// Another gateway reports, in the load datagrams, that a newer table version is in force there; this gateway kept
+// refusing by its own version until the newer one arrived. The log line of such a refusal names a newest known version
+// above its own.
 #include "GatewayFixture.h"
 
 #include <LibEntry/WatchElection.h>
@@ -16,9 +16,9 @@
 
 namespace {
 
-class Behind : public GatewayFixture {
+class OutdatedTable : public GatewayFixture {
 protected:
-    Behind()
+    OutdatedTable()
     {
         add_backend("i-1",
             [](auto& connection, auto const& request, auto) { connection.write(answer_to(request, 200, "fine")); });
@@ -42,18 +42,18 @@
 
 }
 
-TEST_F(Behind, ARouteThatANewerTableMayHaveIsNotRefusedByTheOldOne)
+TEST_F(OutdatedTable, WaitsForTheNewerTableBeforeRefusingARoute)
 {
     report_version(2);
     auto const caller = call(request("GET", "/added/"));
     add_route("added", {{"path-prefix", "/added/"}});
-    // The request has come by the time the next one is answered.
+    // The request has been received by the time the next one is answered.
     EXPECT_EQ(answer_of(request("GET", "/plain/")).status, 200);
     apply_table(2);
     EXPECT_EQ(caller->read_answer().status, 200);
 }
 
-TEST_F(Behind, AKeyThatANewerTableMayHaveIsNotRefusedByTheOldOne)
+TEST_F(OutdatedTable, WaitsForTheNewerTableBeforeRefusingAKey)
 {
     report_version(2);
     auto const caller = call(request("GET", "/keyed/", "Authorization: Bearer added\r\n"));
@@ -63,7 +63,7 @@
     EXPECT_EQ(caller->read_answer().status, 200);
 }
 
-TEST_F(Behind, WhatTheNewerTableDoesNotHaveEitherIsRefusedByIt)
+TEST_F(OutdatedTable, RefusesARouteThatTheNewerTableLacks)
 {
     report_version(2);
     auto const caller = call(request("GET", "/nowhere/"));
@@ -72,18 +72,18 @@
     EXPECT_EQ(caller->read_answer().status, 404);
 }
 
-TEST_F(Behind, WhereTheNewerTableDoesNotComeTheCallerIsToldWhenToComeBack)
+TEST_F(OutdatedTable, AnswersRetryAfterIfTheNewerTableDoesNotArrive)
 {
     report_version(2);
-    auto const begun = Core::monotonic_now();
+    auto const started = Core::monotonic_now();
     auto const answer = answer_of(request("GET", "/added/"));
     EXPECT_EQ(answer.status, 503);
     EXPECT_TRUE(field_of(answer.head, "Retry-After").has_value());
-    // Given up, the request is answered: half a second is what a request before the first table waits.
-    EXPECT_LE(Core::elapsed(begun, Core::monotonic_now()), 1s);
+    // A request is abandoned and answered after half a second, like a request before the first table.
+    EXPECT_LE(Core::elapsed(started, Core::monotonic_now()), 1s);
 }
 
-TEST_F(Behind, WhoKnowsOfNothingNewerRefusesAtOnce)
+TEST_F(OutdatedTable, RefusesAtOnceWithoutANewerTable)
 {
     EXPECT_EQ(answer_of(request("GET", "/nowhere/")).status, 404);
     report_version(1);
--- a/Tests/LibGateway/CrashRulesTest.cpp
+++ b/Tests/LibGateway/CrashRulesTest.cpp
@@ -1,20 +1,16 @@
-// A request that crashes each engine that begins it.
+// Guards against a request that crashes every engine that starts it: engines ended one after the other for 15 to 20
+// seconds, three times in a day, while two prompts of three were not served; one request reached engines 34 more times
+// after it had crashed three of them.
 //
-// What users saw: engines ended one after the other for 15 to 20 seconds, three times in a day; two prompts of three
-// were not served meanwhile, and one request reached engines 34 times more after it had ended three of them.
+// The request crashes its engine some 50 ms after its start. The other streams of that engine break at the same moment
+// and continue elsewhere, as does the request. After its two tries its caller receives a failure and retries with a new
+// id, mostly at another gateway, which places it like any other. Engines restart after two to four seconds and receive
+// it again.
 //
-// Order of events: a caller's request crashes its engine some 50 ms after it has begun. All other streams of that
-// engine break at the same moment and go on elsewhere, and so does this one. When its two tries are over, its caller
-// gets a failure and comes again with a new id, mostly at another gateway, who places it as any other. Engines are back
-// after two to four seconds and get it again.
-//
-// Cause: whatever a gateway knew of a request ended with its run, and no other gateway heard of it. Limits on tries and
-// on repeated sends count within one run, or over all requests, so that no limit concerned one request that comes as
-// many.
-//
-// Evidence: 17 engines that ended in eight seconds had requests of one class and workspace on them in 12 cases, while
-// no other pair was at more than 6; 977 of 1,020 sends were first ones; nothing ended in the pauses in which none of
-// these requests came.
+// A gateway lost its knowledge of a request at the end of the run and did not share it, and limits on tries and retries
+// count within one run or over all requests, so no limit applied to it. Of 17 engines that ended in eight seconds, 12
+// had requests of the same class and workspace, while no other pair was on more than 6; 977 of 1,020 sends were first
+// ones; nothing ended in the pauses between these requests.
 #include "GatewayFixture.h"
 
 #include <LibCore/Text.h>
@@ -29,13 +25,13 @@
 
 using namespace std::chrono_literals;
 
-/// Within it all gateways know what one of them knows.
+/// Time within which a conclusion of one gateway reaches all others.
 constexpr Core::Milliseconds s_propagation_time {3'000};
-/// How often a request may still reach engines when it has crashed three of them and the contact time has passed.
+/// Maximum number of sends of a request that has crashed three engines, after the propagation time.
 constexpr std::size_t s_max_late_sends = 3;
 constexpr Core::Milliseconds s_restart_delay {300};
 
-/// Three gateways that know each other, before engines that crash when they begin a certain body.
+/// Three connected gateways in front of engines that crash when they start a request with the body `deadly`.
 class CrashRules : public GatewayFixture {
 protected:
     static constexpr std::size_t s_gateways = 3;
@@ -94,7 +90,7 @@
         }
     }
 
-    /// Asks the gateways in turn.
+    /// Sends the request to the gateways in turn.
     RawCaller::Answer send(std::string const& body)
     {
         restart_engines();
@@ -122,7 +118,7 @@
         return sum;
     }
 
-    /// Its caller asks again and again until the gateways have had their time to know of three crashes.
+    /// Sends the deadly request until the gateways have had their time to learn of three crashes.
     void crash_three_engines_and_wait()
     {
         while (arrivals("deadly") < 3)
@@ -134,7 +130,7 @@
         }
     }
 
-    /// What the store had when the gateways began; the first one that looks takes it.
+    /// Quarantine loaded from the store; the first gateway that ticks takes it.
     Cluster::SharedQuarantine m_store_quarantine;
     std::vector<std::unique_ptr<Node>> m_nodes;
     std::size_t m_next_gateway {0};
@@ -142,27 +138,27 @@
 
 }
 
-TEST_F(CrashRules, ARequestThatHasCrashedThreeEnginesReachesThreeMoreAtMost)
+TEST_F(CrashRules, SendsARequestThatCrashedThreeEnginesToThreeMoreAtMost)
 {
     crash_three_engines_and_wait();
     auto const before = arrivals("deadly");
     constexpr int request_count = 40;
     for (int count = 0; count < request_count; ++count) {
         auto const answer = send("deadly");
-        // It has run, so that nothing may say that it has not, and it is not invited to come again.
+        // The request has run, so the answer must neither state that it has not nor invite a retry.
         EXPECT_GE(answer.status, 500);
         EXPECT_NE(answer.status, 503);
         EXPECT_FALSE(field_of(answer.head, "Retry-After"));
     }
     EXPECT_LE(arrivals("deadly") - before, s_max_late_sends);
-    // Whoever asks otherwise is served, the same caller at the same path among them.
+    // Other requests are served, also of the same caller at the same path.
     restart_engines();
     EXPECT_TRUE(send("harmless").is_whole);
     EXPECT_EQ(arrivals("harmless"), 1U);
 }
 
-// Answers break where nothing has crashed: they are reset, or spoiled, and the server goes on.
-TEST_F(CrashRules, ABreakOfAServerThatGoesOnIsNoCrash)
+// Answers also break without a crash: they are reset or spoiled, and the server continues.
+TEST_F(CrashRules, DoesNotCountBrokenAnswersOfARunningServer)
 {
     add_backend("i-breaking", [](auto& connection, auto const& text, auto) {
         if (body_of(text) == "probe")
@@ -178,8 +174,8 @@
     EXPECT_EQ(counter("granitefield_gateway_crash_witnesses_total"), 0U);
 }
 
-// A server that leaves ends with what it still has, and refuses connections after it, as one that crashed.
-TEST_F(CrashRules, TheEndOfAServerThatLeavesIsNoCrash)
+// A leaving server ends with its open streams and then refuses connections, like a crashed one.
+TEST_F(CrashRules, DoesNotCountTheEndOfALeavingServer)
 {
     std::atomic<bool> may_end {false};
     auto& leaving = add_backend("i-leaving", [&](auto& connection, auto const& text, auto) {
@@ -197,13 +193,13 @@
     publish_servers();
     for (auto const& node : m_nodes)
         node->gateway.wake();
-    // The gateway has taken the list when its status says so.
+    // The gateway has applied the list when its status says so.
     while (m_nodes[0]->gateway.status().find("\"serving\":false") == std::string::npos)
         std::this_thread::yield();
     may_end = true;
     EXPECT_FALSE(caller.read_answer().is_whole);
     EXPECT_EQ(leaving.count(), 1U);
-    // A crash that counts, met later by the same gateway: by then it would have counted the other one as well.
+    // A crash that counts, at the same gateway. By then it would also have counted the end of the leaving server.
     m_servers_list.servers.front() = m_backends.front()->entry();
     publish_servers();
     m_nodes[0]->gateway.wake();
@@ -214,8 +210,8 @@
     EXPECT_EQ(counter("granitefield_gateway_crash_witnesses_total"), 1U);
 }
 
-// What died beside such a request goes on elsewhere, and is not held with it.
-TEST_F(CrashRules, WhatRanBesideItIsServed)
+// Requests that broke in the same crash continue elsewhere and are not quarantined with it.
+TEST_F(CrashRules, ServesRequestsThatBrokeInTheSameCrash)
 {
     crash_three_engines_and_wait();
     EXPECT_EQ(counter("granitefield_gateway_quarantines_total"), s_gateways);
@@ -226,8 +222,8 @@
     EXPECT_GE(counter("granitefield_gateway_held_back_total"), 20U);
 }
 
-// All gateways were gone at one moment; the store has kept what they knew.
-TEST_F(CrashRules, WhatTheStoreHasKeptReachesNoServer)
+// All gateways restarted at the same time; the store has kept the quarantine.
+TEST_F(CrashRules, DoesNotSendRequestsQuarantinedInTheStore)
 {
     auto const digest = Core::RequestDigest::of("/asked/case", "ws", "deadly");
     m_store_quarantine.add_loaded({digest});
@@ -241,8 +237,8 @@
     EXPECT_TRUE(send("harmless").is_whole);
 }
 
-// An operator lets one go, at any gateway.
-TEST_F(CrashRules, WhatAnOperatorReleasesReachesServersAgain)
+// An operator may release a request at any gateway.
+TEST_F(CrashRules, SendsRequestsReleasedByAnOperator)
 {
     crash_three_engines_and_wait();
     auto const digest = Core::RequestDigest::of("/asked/case", "ws", "deadly");
--- a/Tests/LibGateway/CrashSharingTest.cpp
+++ b/Tests/LibGateway/CrashSharingTest.cpp
@@ -1,5 +1,5 @@
-// That a dozen gateways all know which request crashes servers within the time that gateways in touch have, whatever
-// happens to them and to their datagrams meanwhile. Simulated time.
+// Tests in simulated time that all of twelve gateways quarantine a request that crashes servers within the propagation
+// time, despite killed and restarted gateways and lost datagrams.
 #include "LoadFleet.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 protected:
     static Core::RequestDigest deadly() { return Core::RequestDigest::of("/deadly", "caller", "body"); }
 
-    /// A server crashes, and that gateway had sent it the request.
+    /// Simulates a crash of a server to which that gateway had sent the request.
     void crash_at(std::size_t gateway)
     {
         ++m_last_life;
@@ -23,7 +23,7 @@
             {deadly(), {m_last_life, m_last_life, 1}, Policy::Exposure::Fresh, m_now}, m_now);
     }
 
-    /// Gateways that would still send the request to a server.
+    /// Returns the gateways that would still send the request to a server.
     [[nodiscard]] std::vector<std::string> gateways_without_quarantine()
     {
         std::vector<std::string> names;
@@ -34,7 +34,7 @@
         return names;
     }
 
-    /// The gateway's process starts anew and knows nothing.
+    /// Restarts the gateway's process, without its state.
     void restart(std::size_t number)
     {
         auto const address = node(number).address;
@@ -49,7 +49,7 @@
 
 }
 
-TEST_F(CrashFleet, AllKnowOfThreeCrashesThatThreeGatewaysSaw)
+TEST_F(CrashFleet, QuarantinesAfterCrashesAtThreeGateways)
 {
     for (std::size_t gateway : {3U, 7U, 11U}) {
         crash_at(gateway);
@@ -59,7 +59,7 @@
     EXPECT_EQ(gateways_without_quarantine(), NoGateways());
 }
 
-TEST_F(CrashFleet, AllKnowThoughThreeDatagramsInTenAreLost)
+TEST_F(CrashFleet, QuarantinesWithThreeDatagramsInTenLost)
 {
     m_loss = 0.3;
     for (std::size_t gateway : {3U, 7U, 11U}) {
@@ -70,7 +70,7 @@
     EXPECT_EQ(gateways_without_quarantine(), NoGateways());
 }
 
-TEST_F(CrashFleet, AllKnowThoughTheRelayOfWhoSawItIsKilled)
+TEST_F(CrashFleet, QuarantinesAfterTheRelayIsKilled)
 {
     for (std::size_t gateway : {3U, 6U, 9U}) {
         crash_at(gateway);
@@ -82,11 +82,11 @@
     EXPECT_EQ(gateways_without_quarantine(), NoGateways());
 }
 
-TEST_F(CrashFleet, AllKnowThoughWhoSawItIsKilledRightAfter)
+TEST_F(CrashFleet, QuarantinesAfterTheReportersAreKilled)
 {
     for (std::size_t gateway : {3U, 7U, 11U}) {
         crash_at(gateway);
-        // It has told its relay by then, once.
+        // It has reported to its relay once by then.
         advance(LoadSharing::s_interval + s_step);
         node(gateway).is_alive = false;
     }
@@ -94,7 +94,7 @@
     EXPECT_EQ(gateways_without_quarantine(), NoGateways());
 }
 
-TEST_F(CrashFleet, WhoBeginsLaterHearsOfIt)
+TEST_F(CrashFleet, SendsTheQuarantineToRestartedGateways)
 {
     for (std::size_t gateway : {3U, 7U, 11U}) {
         crash_at(gateway);
@@ -108,7 +108,7 @@
     EXPECT_EQ(gateways_without_quarantine(), NoGateways());
 }
 
-TEST_F(CrashFleet, AGoodEndAnywhereFreesItEverywhere)
+TEST_F(CrashFleet, ClearsTheQuarantineAfterASuccessAnywhere)
 {
     for (std::size_t gateway : {3U, 7U, 11U}) {
         crash_at(gateway);
@@ -122,10 +122,10 @@
     EXPECT_TRUE(node(4).crashes.is_empty());
 }
 
-// Crashes that any gateways saw, some of them at once, with up to three datagrams in ten lost, half of the gateways
-// killed at one moment and two that begin anew: whoever lives knows when the contact time has passed after the last
-// crash.
-RC_GTEST_FIXTURE_PROP(CrashFleet, AllKnowWhateverHappensToTheFleet, (unsigned seed))
+// Crashes at random gateways, some at the same time, with up to three datagrams in ten lost, half of the gateways
+// killed at once and up to two restarted: all gateways alive must quarantine the request within the propagation time
+// after the last crash.
+RC_GTEST_FIXTURE_PROP(CrashFleet, QuarantinesUnderRandomFaults, (unsigned seed))
 {
     std::mt19937 random(seed);
     auto const draw = [&random](std::size_t max) { return std::uniform_int_distribution<std::size_t>(0, max)(random); };
@@ -135,7 +135,7 @@
         crash_at(draw(s_count - 1));
         advance(Core::Milliseconds(100 * draw(5)));
     }
-    // The last one has been told by then.
+    // The last crash has been reported by then.
     advance(300ms);
     if (draw(1) == 1) {
         for (std::size_t number = 0; number < s_count / 2; ++number)
--- a/Tests/LibGateway/DatagramReaderTest.cpp
+++ b/Tests/LibGateway/DatagramReaderTest.cpp
@@ -1,4 +1,4 @@
-// Datagrams are read with the time for which they waited in the socket's buffer.
+// Tests that datagrams are read together with the time that they spent in the socket's buffer.
 #include <LibCore/Address.h>
 #include <LibCore/Text.h>
 #include <LibGateway/DatagramReader.h>
@@ -36,7 +36,7 @@
 
 }
 
-TEST_F(DatagramReaders, GiveTheBytesAndTheSender)
+TEST_F(DatagramReaders, ReturnBytesAndSender)
 {
     EXPECT_FALSE(read());
     send("first");
@@ -51,8 +51,8 @@
     EXPECT_FALSE(read());
 }
 
-// What a datagram says has aged by the time for which it waited while the process did not run.
-TEST_F(DatagramReaders, TellHowLongADatagramWaited)
+// The content of a datagram ages while it waits for a process that does not run.
+TEST_F(DatagramReaders, ReturnTheTimeInTheBuffer)
 {
     auto const before = Core::monotonic_now();
     send("waits");
--- a/Tests/LibGateway/DrainRulesTest.cpp
+++ b/Tests/LibGateway/DrainRulesTest.cpp
@@ -1,6 +1,5 @@
-// Operators drained a failure domain, and requests went on to its engines for as long as it was drained; when it came
-// back, its engines were cold, and all gateways sent to them at once. Routes and workspaces that are bound to regions
-// were served anywhere.
+// Guards against requests to engines of a drained failure domain, against full load on its cold engines after the
+// drain, and against requests served outside the regions of their route or workspace.
 #include "GatewayFixture.h"
 
 #include <gtest/gtest.h>
@@ -36,7 +35,7 @@
         m_gateway->wake();
     }
 
-    /// Sends so many requests and gives the statuses other than 200.
+    /// Sends `count` requests and returns the statuses other than 200.
     std::vector<int> failed_statuses(int count, std::string const& target)
     {
         std::vector<int> failures;
@@ -48,7 +47,7 @@
         return failures;
     }
 
-    /// Servers bear one request a second while they are cold, and are for a minute.
+    /// Servers are cold for a minute, in which they handle one request per second.
     void configure_cold_start() { set(Table::SheetName::Services, "svc", {{"cold-time", "60s"}, {"cold-rate", "60"}}); }
 
     void set_known_membership()
@@ -64,7 +63,7 @@
 
 }
 
-TEST_F(DrainRules, ADrainedDomainGetsNothingUntilItIsTakenBack)
+TEST_F(DrainRules, SendsNothingToADrainedDomainUntilItIsUndrained)
 {
     auto const& here = add_good_backend("i-1", "here");
     auto const& there = add_good_backend("i-2", "there");
@@ -78,22 +77,22 @@
     EXPECT_EQ(here.count(), static_cast<std::size_t>(s_request_count));
 }
 
-TEST_F(DrainRules, WhereAllDomainsAreDrainedRequestsAreRefusedAtOnceAsNotRun)
+TEST_F(DrainRules, RefusesAtOnceWhenAllDomainsAreDrained)
 {
     auto const& here = add_good_backend("i-1", "here");
     start_with_drains();
     drain({"here", "there"});
-    auto const begun = Core::monotonic_now();
+    auto const started = Core::monotonic_now();
     auto const answer = answer_of(request("POST", "/plain/", "", "pay"));
     EXPECT_EQ(answer.status, 503);
     EXPECT_TRUE(field_of(answer.head, "Retry-After"));
     EXPECT_NE(answer.body.find("drained"), std::string::npos) << answer.body;
-    // An eighth of the target, long before the gateway would give up looking for a server.
-    EXPECT_LT(Core::elapsed(begun, Core::monotonic_now()), Core::Milliseconds(125));
+    // An eighth of the target, long before the gateway would stop looking for a server.
+    EXPECT_LT(Core::elapsed(started, Core::monotonic_now()), Core::Milliseconds(125));
     EXPECT_EQ(here.count(), 0U);
 }
 
-TEST_F(DrainRules, AnEngineThatBeginsInADrainedDomainGetsNothing)
+TEST_F(DrainRules, SendsNothingToANewEngineInADrainedDomain)
 {
     add_good_backend("i-1", "there");
     start_with_drains();
@@ -104,7 +103,7 @@
     EXPECT_EQ(late.count(), 0U);
 }
 
-TEST_F(DrainRules, EnginesOfADomainThatIsTakenBackAreTakenForCold)
+TEST_F(DrainRules, TreatsEnginesAsColdAfterADrain)
 {
     configure_cold_start();
     auto const& here = add_good_backend("i-1", "here");
@@ -118,7 +117,7 @@
     EXPECT_LE(here.count(), 1U);
 }
 
-TEST_F(DrainRules, AnEngineThatSaysItIsColdGetsWhatItBears)
+TEST_F(DrainRules, LimitsTheRequestsToAColdEngine)
 {
     configure_cold_start();
     auto const& cold = add_good_backend("i-1", "here");
@@ -131,7 +130,7 @@
     EXPECT_GE(warm.count(), static_cast<std::size_t>(s_request_count - 1));
 }
 
-TEST_F(DrainRules, AGatewayThatDoesNotKnowTheOthersSendsNothingToAColdEngine)
+TEST_F(DrainRules, SendsNothingToAColdEngineWithoutKnownMembership)
 {
     configure_cold_start();
     auto const& cold = add_good_backend("i-1", "here");
@@ -142,7 +141,7 @@
     EXPECT_EQ(cold.count(), 0U);
 }
 
-TEST_F(DrainRules, ARouteIsServedInItsRegionsOnly)
+TEST_F(DrainRules, ServesARouteOnlyInItsRegions)
 {
     auto const& here = add_good_backend("i-1", "here");
     auto const& there = add_good_backend("i-2", "there");
@@ -153,7 +152,7 @@
     EXPECT_EQ(there.count(), static_cast<std::size_t>(s_request_count));
 }
 
-TEST_F(DrainRules, RouteAndWorkspaceBothBind)
+TEST_F(DrainRules, AppliesTheRegionsOfRouteAndWorkspace)
 {
     auto const& here = add_good_backend("i-1", "here");
     add_good_backend("i-2", "there");
@@ -166,7 +165,7 @@
     EXPECT_EQ(here.count(), static_cast<std::size_t>(s_request_count));
 }
 
-TEST_F(DrainRules, WhatIsAllowedInNoRegionWithServersIsRefusedWithTheReason)
+TEST_F(DrainRules, RefusesWithTheReasonWithoutServersInAllowedRegions)
 {
     auto const& here = add_good_backend("i-1", "here");
     set(Table::SheetName::Routes, "plain", {{"regions", "south"}});
--- a/Tests/LibGateway/LeavingRulesTest.cpp
+++ b/Tests/LibGateway/LeavingRulesTest.cpp
@@ -50,7 +50,7 @@
         ASSERT_EQ(send(), 200);
     auto const with_both = m_servers_list.servers;
     m_servers_list.servers = {with_both.back()};
-    // The gateway keeps its view of a server until the requests that went there are forgotten.
+    // The gateway keeps its view of a server while requests that were sent there exist.
     while (nlohmann::json::parse(m_gateway->status())["backend-servers"].size() != 1) {
         publish_servers();
         std::this_thread::sleep_for(std::chrono::milliseconds(10));
--- a/Tests/LibGateway/LoadExchangeTest.cpp
+++ b/Tests/LibGateway/LoadExchangeTest.cpp
@@ -1,4 +1,4 @@
-// That the exchange of loads carries its datagrams over real sockets.
+// Tests that LoadExchange sends and receives its datagrams over real sockets.
 #include "NullDescriptor.h"
 
 #include <LibCore/Text.h>
@@ -17,7 +17,7 @@
 using Udp = boost::asio::ip::udp;
 using Datagram = granitefield::protocol::LoadDatagram;
 
-/// An exchange whose relay is a socket of this test.
+/// A LoadExchange whose relay is a socket of this test.
 class LoadExchanges : public ::testing::Test {
 protected:
     LoadExchanges()
@@ -34,14 +34,14 @@
 
     [[nodiscard]] BackendView& server() { return *m_fleet.all().begin()->second; }
 
-    /// Lets the exchange do the work of some of its intervals, however long they take: each is one turn of the loop.
+    /// Runs the given number of intervals of the exchange; each is one handler of the event loop.
     void run(unsigned intervals)
     {
         for (unsigned done = 0; done < intervals; ++done)
             m_loop.run_one();
     }
 
-    /// The next datagram that the relay has, or nothing.
+    /// Returns the next datagram that the relay has received, or nothing.
     std::optional<Datagram> receive()
     {
         std::array<char, 4096> buffer {};
@@ -53,7 +53,7 @@
         return datagram;
     }
 
-    /// Datagrams with a placement, in the one place or the other, among all that have come.
+    /// Returns the number of received datagrams with a placement in either field.
     unsigned count_placements()
     {
         unsigned count = 0;
@@ -82,24 +82,24 @@
 
 }
 
-TEST_F(LoadExchanges, APlacementIsToldTwiceAlsoWhereNothingElseChanges)
+TEST_F(LoadExchanges, SendsAPlacementTwiceWithoutOtherChanges)
 {
     std::vector<PromptPart> const parts {{7, 100}};
     m_exchange.note_placement(server(), parts, 0);
     run(1);
-    unsigned told = count_placements();
-    EXPECT_EQ(told, 1U);
-    // It is told once more, since a datagram may have been lost, and then no more.
+    unsigned sent = count_placements();
+    EXPECT_EQ(sent, 1U);
+    // It is sent a second time in case a datagram is lost, and then no more.
     run(1);
-    told += count_placements();
-    EXPECT_EQ(told, 2U);
+    sent += count_placements();
+    EXPECT_EQ(sent, 2U);
     server().begin_attempt({1, 0, 0});
     run(1);
-    told += count_placements();
-    EXPECT_EQ(told, 2U);
+    sent += count_placements();
+    EXPECT_EQ(sent, 2U);
 }
 
-TEST_F(LoadExchanges, TakesTheRelaysWordAndCountsWhatIsNoDatagram)
+TEST_F(LoadExchanges, AppliesRelayedLoadsAndCountsMalformedDatagrams)
 {
     run(1);
     ASSERT_TRUE(receive());
--- a/Tests/LibGateway/LoadFleet.h
+++ b/Tests/LibGateway/LoadFleet.h
@@ -21,15 +21,15 @@
 
 inline Core::MonotonicTime const s_start {1h};
 inline constexpr Core::Milliseconds s_step {5};
-/// One way between two gateways.
+/// Delay of a datagram between two gateways.
 inline constexpr Core::Milliseconds s_latency {1};
-/// What every gateway knows has to be no older than this: three intervals, and the ways between.
+/// Maximum time for a change to reach all gateways: three intervals and the delays between.
 inline constexpr Core::Milliseconds s_max_propagation_time = LoadSharing::s_interval * 3 + s_step * 2;
 inline constexpr std::size_t s_groups = 3;
 
 /// One gateway of the fleet.
 struct Node {
-    /// `life` counts the processes that this gateway has had before.
+    /// `life` is the number of earlier processes of this gateway.
     Node(std::size_t number, std::uint64_t life, Core::MonotonicTime started)
         : address(Core::concat("10.0.0.", number, ":1"))
         , member {address, Core::concat("domain-", number % s_groups), number < s_groups ? 500U : 90U, number}
@@ -56,11 +56,11 @@
     BackendFleet fleet {settings(), log};
     Policy::CrashLedger crashes;
     LoadSharing sharing;
-    /// Gateways do not turn at the same moment.
+    /// Ticks of the gateways do not coincide.
     Core::MonotonicTime next_tick;
 };
 
-/// Gateways of three failure domains before a few engines.
+/// Gateways of three failure domains in front of six engines.
 class LoadFleet : public ::testing::Test {
 protected:
     static constexpr std::size_t s_count = 12;
@@ -85,7 +85,7 @@
         return node;
     }
 
-    /// All know each other.
+    /// Sets the members of all gateways.
     void connect_all()
     {
         for (auto& node : m_nodes) {
@@ -102,7 +102,7 @@
     [[nodiscard]] Node& node(std::size_t number) { return *m_nodes.at(number); }
     static BackendView& view(Node& node, char const* instance) { return *node.fleet.all().at(instance); }
 
-    /// Lets time pass.
+    /// Advances the simulated time.
     void advance(Core::Milliseconds duration)
     {
         for (auto const end = m_now + duration; m_now < end; m_now += s_step) {
@@ -119,7 +119,7 @@
         node.next_tick += LoadSharing::s_interval;
         node.crashes.turn(m_now);
         auto datagrams = node.sharing.tick({}, m_now);
-        // Hash tables give another order in each process; which datagrams are lost must not depend on it.
+        // The order of hash tables differs between processes; which datagrams are lost must not depend on it.
         std::ranges::stable_sort(datagrams, {}, &OutgoingDatagram::address);
         for (auto const& outgoing : datagrams) {
             ++m_sent;
@@ -146,7 +146,7 @@
         }
     }
 
-    /// The gateways that do not know what is open at the engine in truth.
+    /// Returns the gateways whose load of the engine differs from the actual one.
     [[nodiscard]] std::vector<std::string> gateways_with_wrong_load(char const* instance)
     {
         ServerLoad truth;
--- a/Tests/LibGateway/LoadSharingTest.cpp
+++ b/Tests/LibGateway/LoadSharingTest.cpp
@@ -1,5 +1,4 @@
-// What a dozen gateways know of each other's load, played by simulated time: how old it is, and what it is after
-// losses.
+// Tests in simulated time how soon twelve gateways know each other's load, and that they recover from lost datagrams.
 #include "LoadFleet.h"
 
 #include <gtest/gtest.h>
@@ -7,47 +6,47 @@
 
 namespace GraniteField::Gateway {
 
-TEST_F(LoadFleet, HasOneRelayInEachFailureDomainWhereTheProcessorIs)
+TEST_F(LoadFleet, ElectsTheRelayWithTheMostProcessorInEachDomain)
 {
     EXPECT_EQ(count_relays(), s_groups);
     for (std::size_t number = 0; number < s_groups; ++number)
         EXPECT_TRUE(node(number).sharing.is_relay());
 }
 
-// A host that stalled while its gateways began: they counted on knowing the members of their failure domain when they
-// went on, knew none, and each took itself for the relay.
-TEST(RelayElection, IgnoresSilenceDuringAStallRightAfterItsStart)
+// Guards against several relays after a stall of the host at the start of its gateways: the join delay was over when
+// they ran again, but they knew no members yet, and each elected itself.
+TEST(RelayElection, DoesNotCountAStallAtTheStartAsJoinDelay)
 {
-    auto const begun = Core::MonotonicTime(1h);
-    RelayElection election(begun);
+    auto const start = Core::MonotonicTime(1h);
+    RelayElection election(start);
     election.set_members({{"10.0.0.1:1", "here", 90, 1}, {}});
-    auto now = begun + 2'200ms;
+    auto now = start + 2'200ms;
     for (auto const end = now + RelayElection::s_join_delay; now < end; now += 100ms)
         EXPECT_FALSE(election.choose_relay(now));
     EXPECT_EQ(election.choose_relay(now), "10.0.0.1:1");
 }
 
-TEST(RelayElection, JoinsUntilItHearsAMemberOrKnowsThatItWould)
+TEST(RelayElection, JoinsUntilAFirstDatagramOrTheJoinDelay)
 {
-    auto const begun = Core::MonotonicTime(1h);
+    auto const start = Core::MonotonicTime(1h);
     Entry::LoadMember const self {"10.0.0.1:1", "here", 90, 1};
     Entry::LoadMember const other {"10.0.0.2:1", "here", 90, 2};
-    RelayElection election(begun);
+    RelayElection election(start);
     election.set_members({self, {other}});
-    EXPECT_TRUE(election.is_joining(begun));
-    RelayElection unanswered(begun);
+    EXPECT_TRUE(election.is_joining(start));
+    RelayElection unanswered(start);
     unanswered.set_members({self, {other}});
-    auto now = begun;
-    for (; now < begun + RelayElection::s_join_delay; now += 100ms) {
+    auto now = start;
+    for (; now < start + RelayElection::s_join_delay; now += 100ms) {
         static_cast<void>(unanswered.choose_relay(now));
         EXPECT_TRUE(unanswered.is_joining(now));
     }
     EXPECT_FALSE(unanswered.is_joining(now));
-    election.note_relay_datagram(other.address, begun);
-    EXPECT_FALSE(election.is_joining(begun));
+    election.note_relay_datagram(other.address, start);
+    EXPECT_FALSE(election.is_joining(start));
 }
 
-TEST_F(LoadFleet, KnowsWhatAnyGatewayDoesWithinThreeIntervals)
+TEST_F(LoadFleet, PropagatesLoadsWithinThreeIntervals)
 {
     for (std::size_t number = 0; number < s_count; ++number) {
         view(node(number), "i-3").begin_attempt({1, 5'000, 1});
@@ -62,7 +61,7 @@
     }
 }
 
-TEST_F(LoadFleet, IsRightAgainAfterLosses)
+TEST_F(LoadFleet, CorrectsLoadsAfterLostDatagrams)
 {
     m_loss = 0.1;
     std::uniform_int_distribution<std::size_t> any_node(0, s_count - 1);
@@ -82,13 +81,13 @@
         EXPECT_EQ(gateways_with_wrong_load(instance), std::vector<std::string>()) << instance;
 }
 
-TEST_F(LoadFleet, ReplacesADeadRelayAndForgetsWhatItHadOpen)
+TEST_F(LoadFleet, ReplacesADeadRelayAndDropsItsLoad)
 {
     view(node(0), "i-1").begin_attempt({4, 0, 0});
     advance(s_max_propagation_time);
     node(0).is_alive = false;
     advance(RelayElection::s_silence_limit + LoadSharing::s_interval * 2);
-    // One of its failure domain begins something: it is known as soon as ever.
+    // A load change in its failure domain propagates as fast as before.
     view(node(3), "i-2").begin_attempt({1, 0, 0});
     advance(s_max_propagation_time);
     EXPECT_EQ(gateways_with_wrong_load("i-2"), std::vector<std::string>());
@@ -97,7 +96,7 @@
     EXPECT_EQ(count_relays(), s_groups);
 }
 
-TEST_F(LoadFleet, GoesBackToARelayThatIsThereAgain)
+TEST_F(LoadFleet, ReturnsToARelayThatIsAvailableAgain)
 {
     node(1).is_alive = false;
     advance(1s);
@@ -111,7 +110,7 @@
     EXPECT_EQ(gateways_with_wrong_load("i-2"), std::vector<std::string>());
 }
 
-TEST_F(LoadFleet, EveryGatewaySendsOneDatagramAnIntervalAtMostButTheRelays)
+TEST_F(LoadFleet, LimitsDatagramsToOnePerIntervalExceptAtRelays)
 {
     std::vector<PromptPart> const parts {{9, 100}};
     m_sent = 0;
@@ -122,11 +121,11 @@
         }
         advance(LoadSharing::s_interval);
     }
-    // Nine report; three relays tell three reporters and two relays each.
+    // Nine gateways report; three relays send to three reporters and two relays each.
     EXPECT_LE(m_sent, 21U * (9 + 3 * 5));
 }
 
-TEST_F(LoadFleet, PlacementsReachAllAlsoWhereAReportIsLost)
+TEST_F(LoadFleet, PropagatesPlacementsAfterALostReport)
 {
     std::vector<PromptPart> const parts {{9, 400}};
     node(4).sharing.note_placement(view(node(4), "i-5"), parts, 0);
@@ -141,13 +140,13 @@
     }
 }
 
-TEST_F(LoadFleet, LeavesADeadServerAloneAfterOneOfItsDomainFoundOut)
+TEST_F(LoadFleet, AvoidsADeadServerAfterAReportInTheDomain)
 {
     node(4).sharing.note_unreachable(view(node(4), "i-2"));
     advance(s_max_propagation_time);
     for (auto const& node : m_nodes) {
         bool const is_of_that_domain = node->member.group == this->node(4).member.group;
-        // The others may reach it, and wait for a second domain's word.
+        // The other domains may reach it and wait for the report of a second domain.
         EXPECT_EQ(view(*node, "i-2").is_avoided(m_now), is_of_that_domain) << node->address;
     }
     node(3).sharing.note_unreachable(view(node(3), "i-2"));
@@ -156,9 +155,9 @@
         EXPECT_TRUE(view(*node, "i-2").is_avoided(m_now)) << node->address;
 }
 
-TEST_F(LoadFleet, LeavesAServerAloneWhoseStreamsBreakTogether)
+TEST_F(LoadFleet, AvoidsAServerWhoseStreamsBreakTogether)
 {
-    // One answer that breaks off says nothing of the others there.
+    // A single broken answer says nothing about the other streams there.
     node(4).sharing.note_broken(view(node(4), "i-2"));
     advance(s_max_propagation_time);
     EXPECT_FALSE(view(node(4), "i-2").is_avoided(m_now));
@@ -169,7 +168,7 @@
     EXPECT_TRUE(view(node(10), "i-3").is_avoided(m_now));
 }
 
-TEST_F(LoadFleet, BelievesASuspectedServerAgainOnceItAnswersOneOfItsDomain)
+TEST_F(LoadFleet, UsesASuspectedServerAfterAnAnswerInTheDomain)
 {
     for (std::size_t const number : {3, 4})
         node(number).sharing.note_unreachable(view(node(number), "i-2"));
@@ -180,7 +179,7 @@
     EXPECT_FALSE(view(node(10), "i-2").is_avoided(m_now));
 }
 
-TEST_F(LoadFleet, FewGatewaysTryADeadServerAgainBeforeTheyHearOfTheFirst)
+TEST_F(LoadFleet, SpreadsTheRetriesOfADeadServer)
 {
     for (std::size_t const number : {3, 4, 5})
         node(number).sharing.note_unreachable(view(node(number), "i-2"));
@@ -197,11 +196,11 @@
         }
         advance(s_step);
     }
-    // Five seconds hold about four times of being left alone: 250 ms, 500 ms, a second and two.
+    // Five seconds contain about four avoidance periods: 250 ms, 500 ms, 1 s and 2 s.
     EXPECT_LE(tries, 4U * 5U);
 }
 
-TEST_F(LoadFleet, BelievesMembersOnlyAndKeepsToItsBounds)
+TEST_F(LoadFleet, IgnoresNonMembersAndOutdatedOrOversizedDatagrams)
 {
     LoadSharing::Datagram datagram;
     datagram.set_protocol_version(Protocol::s_protocol_version);
@@ -218,7 +217,7 @@
     part.clear_placements();
     EXPECT_TRUE(node(5).sharing.receive(datagram, node(2).address, m_now));
     EXPECT_EQ(view(node(5), "i-0").load().open, 9U);
-    // An older word of the same relay changes nothing.
+    // An older datagram of the same relay changes nothing.
     load.set_open(4);
     EXPECT_TRUE(node(5).sharing.receive(datagram, node(2).address, m_now));
     EXPECT_EQ(view(node(5), "i-0").load().open, 9U);
@@ -228,7 +227,7 @@
     EXPECT_FALSE(node(5).sharing.receive(datagram, node(2).address, m_now));
 }
 
-RC_GTEST_PROP(LoadSharing, LeavesNothingBehindOfAnyDatagrams, ())
+RC_GTEST_PROP(LoadSharing, ExpiresTheLoadsOfAnyDatagrams, ())
 {
     Node node(0, 0, s_start);
     Node peer(3, 0, s_start);
--- a/Tests/LibGateway/ServerRosterTest.cpp
+++ b/Tests/LibGateway/ServerRosterTest.cpp
@@ -28,7 +28,7 @@
 
 }
 
-TEST(ServerRoster, DropsAtOnceWhileTheStoreIsThere)
+TEST(ServerRoster, RemovesAtOnceWhileTheStoreIsAvailable)
 {
     ServerRoster roster;
     roster.apply_list({server("a"), server("b")}, Entry::ListRevision(1), s_start);
@@ -37,42 +37,42 @@
     EXPECT_FALSE(roster.list().is_provisional);
 }
 
-TEST(ServerRoster, AWordOfAnEarlierLifeChangesNothing)
+TEST(ServerRoster, IgnoresEntriesOfAnEarlierRun)
 {
-    auto const of_life = [](int born, unsigned slots) {
+    auto const entry_of_run = [](int born, unsigned slots) {
         auto entry = server("a");
         entry.born = Platform::BirthTime(Core::Milliseconds(born));
         entry.slots = slots;
         return entry;
     };
     ServerRoster roster;
-    roster.apply_entry(of_life(2'000, 8));
-    roster.apply_entry(of_life(1'000, 4));
+    roster.apply_entry(entry_of_run(2'000, 8));
+    roster.apply_entry(entry_of_run(1'000, 4));
     EXPECT_EQ(roster.list().servers.front().slots, 8U);
-    roster.apply_entry(of_life(3'000, 16));
+    roster.apply_entry(entry_of_run(3'000, 16));
     EXPECT_EQ(roster.list().servers.front().slots, 16U);
 }
 
-TEST(ServerRoster, WaitsForWhatLapsedWhileTheStoreWasAway)
+TEST(ServerRoster, KeepsEntriesThatExpiredInAStoreOutage)
 {
     ServerRoster roster;
     roster.apply_list({server("a"), server("b")}, Entry::ListRevision(1), s_start);
     roster.note_store_lost();
-    auto const back = s_start + 5s;
-    roster.note_store_available(back);
-    roster.apply_list({}, Entry::ListRevision(5), back);
+    auto const available_again = s_start + 5s;
+    roster.note_store_available(available_again);
+    roster.apply_list({}, Entry::ListRevision(5), available_again);
     EXPECT_TRUE(has(roster, "a"));
     EXPECT_TRUE(roster.list().is_provisional);
     roster.apply_entry(server("a"));
-    EXPECT_FALSE(roster.settle(back + 1s));
+    EXPECT_FALSE(roster.settle(available_again + 1s));
     EXPECT_TRUE(has(roster, "b"));
-    EXPECT_TRUE(roster.settle(back + 2s));
+    EXPECT_TRUE(roster.settle(available_again + 2s));
     EXPECT_TRUE(has(roster, "a"));
     EXPECT_FALSE(has(roster, "b"));
     EXPECT_FALSE(roster.list().is_provisional);
 }
 
-TEST(ServerRoster, DoesNotWaitForOneThatWasLeaving)
+TEST(ServerRoster, RemovesLeavingServersAfterAStoreOutage)
 {
     ServerRoster roster;
     auto leaving = server("a");
@@ -84,21 +84,21 @@
     EXPECT_FALSE(has(roster, "a"));
 }
 
-TEST(ServerRoster, BelievesAPeerThatSawAServerGo)
+TEST(ServerRoster, AdoptsTheRemovalOfAServerFromAPeer)
 {
     ServerRoster roster;
     roster.apply_list({server("a"), server("b")}, Entry::ListRevision(1), s_start);
     roster.note_store_lost();
-    Entry::ServerList peers;
-    peers.revision = Entry::ListRevision(4);
-    peers.servers = {server("b")};
-    roster.adopt(peers);
+    Entry::ServerList peer_list;
+    peer_list.revision = Entry::ListRevision(4);
+    peer_list.servers = {server("b")};
+    roster.adopt(peer_list);
     roster.note_store_available(s_start + 5s);
     roster.apply_list({server("b")}, Entry::ListRevision(5), s_start + 5s);
     EXPECT_FALSE(has(roster, "a"));
 }
 
-TEST(ServerRoster, AProvisionalListIsNotForOthers)
+TEST(ServerRoster, DoesNotShareAProvisionalList)
 {
     Entry::SharedServers shared;
     Entry::ServerList settled;
--- a/Tests/LibGateway/SignalSharingTest.cpp
+++ b/Tests/LibGateway/SignalSharingTest.cpp
@@ -1,4 +1,5 @@
-// Exchange of server statements among gateways in simulated time: a limit that one gateway received binds all of them.
+// Tests the exchange of server signals among gateways in simulated time: a limit that one gateway received applies to
+// all of them.
 #include "LoadFleet.h"
 #include "RateLimitJudge.h"
 
@@ -31,7 +32,7 @@
         m_class.first_token_target = 500ms;
     }
 
-    /// Callers send so many requests a second in all, each to any gateway.
+    /// Advances the time while callers send that many requests per second in all, each to a random gateway.
     void advance_with_requests(Core::Milliseconds duration, double per_second)
     {
         std::uniform_int_distribution<std::size_t> any_gateway(0, s_gateways - 1);
@@ -44,13 +45,13 @@
         }
     }
 
-    void state(std::optional<double> rate)
+    void state_limit(std::optional<double> rate)
     {
         m_rate = rate;
         m_judge.note_stated(s_limited, rate, m_now);
     }
 
-    /// Gateways that believe in a limit of the server.
+    /// Returns the number of gateways that apply a limit to the server.
     [[nodiscard]] std::size_t gateways_with_limit()
     {
         return static_cast<std::size_t>(std::ranges::count_if(m_nodes,
@@ -123,7 +124,7 @@
 {
     m_loss = 0.02;
     advance_with_requests(1s, 600);
-    state(0.5);
+    state_limit(0.5);
     advance_with_requests(15s, 600);
     for (auto const& finding : m_judge.findings())
         ADD_FAILURE() << finding;
@@ -135,11 +136,11 @@
 TEST_F(RateLimitFleet, FindsTheEndOfALimit)
 {
     advance_with_requests(1s, 600);
-    state(1);
+    state_limit(1);
     advance_with_requests(5s, 600);
     ASSERT_EQ(gateways_with_limit(), s_gateways);
-    state(std::nullopt);
-    // Two rechecks at most, and the way of a report.
+    state_limit(std::nullopt);
+    // At most two rechecks and the propagation of a report.
     advance_with_requests(BackendFleet::s_recheck_interval * 2 + s_max_propagation_time + 1s, 600);
     EXPECT_EQ(gateways_with_limit(), 0U);
 }
@@ -148,12 +149,12 @@
 TEST_F(RateLimitFleet, CorrectsAGatewayWithADelayedReport)
 {
     advance_with_requests(1s, 600);
-    state(1);
+    state_limit(1);
     advance_with_requests(3s, 600);
     auto const server = view(node(7), s_limited).id();
     auto const late = Policy::RateLimitFact::limited(1, m_now + 2'500ms);
     node(7).fleet.rate_limits().take({server, late}, Policy::Relaying::No, m_now);
-    state(std::nullopt);
+    state_limit(std::nullopt);
     advance_with_requests(Policy::RateLimitFacts::s_refresh + BackendFleet::s_recheck_interval * 2 + 1s, 600);
     EXPECT_EQ(gateways_with_limit(), 0U);
 }
@@ -161,7 +162,7 @@
 TEST_F(RateLimitFleet, ReportsALimitToANewGateway)
 {
     advance_with_requests(1s, 600);
-    state(1);
+    state_limit(1);
     advance_with_requests(2s, 600);
     auto& restarted = m_nodes[7];
     restarted->is_alive = false;
@@ -199,10 +200,10 @@
 TEST_F(LoadFleet, ReportsALeavingServerToAllGateways)
 {
     m_loss = 0.02;
-    auto& told = node(5);
+    auto& receiver = node(5);
     ServerSignals leaving;
     leaving.is_leaving = true;
-    told.fleet.note_signals(view(told, "i-3"), leaving, m_now, m_now);
+    receiver.fleet.note_signals(view(receiver, "i-3"), leaving, m_now, m_now);
     advance(s_max_propagation_time + Policy::LeavingFacts::s_repetition_interval * 2);
     for (auto const& node : m_nodes)
         EXPECT_FALSE(view(*node, "i-3").accepts_new_requests()) << node->address;
--- a/Tests/LibGateway/StarvedFleet.h
+++ b/Tests/LibGateway/StarvedFleet.h
@@ -13,23 +13,22 @@
 
 namespace GraniteField::Gateway {
 
-/// A simulated gateway that gets the processor late. It reads its datagrams, and judges who is silent, whenever it
-/// runs.
+/// A simulated gateway that is scheduled late. It reads its datagrams and detects silent peers whenever it runs.
 class StarvedGateway {
 public:
     StarvedGateway(std::size_t number, Core::MonotonicTime started, bool is_elected)
         : m_node(number, 0, started)
-        // The patience of gateways is spread over once to twice the shortest one, as WatchDuty does.
+        // The timeouts of gateways are spread over once to twice the minimum, as in WatchDuty.
         , m_election({s_silence_timeout + s_silence_timeout * static_cast<int>(number) / 12}, started)
         , m_is_elected(is_elected)
     {
-        // All in one failure domain, so that there is one relay.
+        // All gateways are in one failure domain, so that there is one relay.
         m_node.member = {m_node.address, "domain", 100, number};
         m_election.set_elected(is_elected);
     }
 
     static constexpr Core::Milliseconds s_silence_timeout {750};
-    /// Wait of a watch and time limit of its answer.
+    /// Wait of a watch plus the time limit of its answer.
     static constexpr Core::Milliseconds s_call_limit {800};
 
     [[nodiscard]] std::string const& address() const { return m_node.address; }
@@ -101,7 +100,7 @@
     std::vector<Waiting> m_inbox;
 };
 
-/// A failure domain whose hosts' processors are taken by others: a gateway that is due waits for a drawn time before it
+/// A failure domain on hosts with contended processors: each gateway that is due waits for a random time before it
 /// runs.
 class StarvedFleet {
 public:
--- a/Tests/LibGateway/StarvedFleetTest.cpp
+++ b/Tests/LibGateway/StarvedFleetTest.cpp
@@ -1,5 +1,5 @@
-// Who is taken for silent where a host's processors are taken by others: gateways that wait for a processor are not
-// dead, and dead ones are replaced all the same.
+// Tests the detection of silent gateways on hosts with contended processors: gateways that wait for a processor must
+// not count as dead, and dead ones must still be replaced.
 #include "StarvedFleet.h"
 
 #include <gtest/gtest.h>
@@ -14,8 +14,8 @@
 
 }
 
-// Each gateway took others that waited for a processor for dead: relays changed with every wait, and gateways that were
-// not elected watched the store.
+// Guards against gateways that count peers waiting for a processor as dead: relays changed with every wait, and
+// gateways that were not elected watched the store.
 class StarvedFleets : public ::testing::TestWithParam<int> { };
 
 TEST_P(StarvedFleets, KeepTheirWatchersAndRelays)
@@ -31,7 +31,7 @@
         takeovers += fleet.takeovers() - takeovers_before;
         relay_changes += fleet.relay_changes() - relay_changes_before;
     }
-    // In a minute of twelve gateways: a wrong suspicion now and then, where each wait caused several.
+    // For a minute of twelve gateways: an occasional wrong suspicion, where each wait used to cause several.
     EXPECT_LE(takeovers, 3 * s_seeds);
     EXPECT_LE(relay_changes, 2 * StarvedFleet::s_count * s_seeds);
 }
@@ -40,7 +40,7 @@
 
 class DeadWatchers : public ::testing::TestWithParam<int> {
 protected:
-    /// The longest time in any of the fleets until another gateway watches, or the limit.
+    /// Returns the longest time until another gateway watches in any of the fleets, or the limit.
     static Core::Milliseconds longest_replacement(Core::Milliseconds mean_wait, Core::Milliseconds limit)
     {
         Core::Milliseconds longest {0};
@@ -57,25 +57,25 @@
     }
 };
 
-// Reports of dead watchers stayed fresh, as each gateway that passed them on left out how long they had waited to be
-// read: nobody stepped in.
-TEST_P(DeadWatchers, AreReplacedAlthoughReportsWaitToBeRead)
+// Guards against reports of dead watchers that stay fresh: each gateway that forwarded them left out the time for which
+// they had waited to be read, so no gateway took over.
+TEST_P(DeadWatchers, AreReplacedWhenReportsAreReadLate)
 {
     EXPECT_LT(longest_replacement(Core::Milliseconds(GetParam()), s_observed_time), s_observed_time);
 }
 
 INSTANTIATE_TEST_SUITE_P(MeanWaits, DeadWatchers, ::testing::Values(0, 50, 100, 200, 400, 800));
 
-// A change must be in force within 3 s where hosts run, also with the short waits of a busy host.
-TEST_F(DeadWatchers, AreReplacedWithinThePromisedTimeOnABusyHost)
+// A change must take effect within 3 s where hosts run, also with the short waits of a busy host.
+TEST_F(DeadWatchers, AreReplacedWithinThreeSecondsOnABusyHost)
 {
     constexpr Core::Milliseconds limit {3'000};
     for (int const mean_wait : {0, 50, 100})
         EXPECT_LT(longest_replacement(Core::Milliseconds(mean_wait), limit), limit) << mean_wait;
 }
 
-// The patience of a host that runs well again is the usual one, however long the gaps between reports were.
-TEST(StarvedFleet, RecoversItsPatience)
+// After the host has recovered, the timeout must be the usual one again, however long the gaps between reports were.
+TEST(StarvedFleet, RestoresItsTimeout)
 {
     for (unsigned seed = 1; seed <= s_seeds; ++seed) {
         StarvedFleet fleet(seed, Core::Milliseconds(400));
