--- a/Libraries/LibCluster/SharedDuty.cpp
+++ b/Libraries/LibCluster/SharedDuty.cpp
@@ -105,16 +105,16 @@
     return m_clock.at(now);
 }
 
-void SharedDuty::note_word(DutyWord const& word)
+void SharedDuty::merge_status(DutyStatus const& status)
 {
     std::lock_guard const lock(m_mutex);
-    m_word.merge(word);
+    m_status.merge(status);
 }
 
-DutyWord SharedDuty::word() const
+DutyStatus SharedDuty::status() const
 {
     std::lock_guard const lock(m_mutex);
-    return m_word;
+    return m_status;
 }
 
 bool SharedDuty::is_settled(UsageWindow window, WallTime time) const
--- a/Libraries/LibCluster/SharedDuty.h
+++ b/Libraries/LibCluster/SharedDuty.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <LibCluster/DutyWord.h>
+#include <LibCluster/DutyStatus.h>
 #include <LibCluster/FleetClock.h>
 #include <LibCluster/UsageLedger.h>
 
@@ -51,8 +51,8 @@
     void follow_clock_readings(Core::MonotonicTime now);
     [[nodiscard]] std::optional<FleetClock::Reading> host_median(Core::MonotonicTime now) const;
     [[nodiscard]] std::optional<WallTime> fleet_time(Core::MonotonicTime now) const;
-    void note_word(DutyWord const&);
-    [[nodiscard]] DutyWord word() const;
+    void merge_status(DutyStatus const&);
+    [[nodiscard]] DutyStatus status() const;
 
     // For the thread of the duty.
 
@@ -72,7 +72,7 @@
     mutable std::mutex m_mutex;
     FleetClock m_clock;
     UsageLedger m_ledger;
-    DutyWord m_word;
+    DutyStatus m_status;
     /// When the closed window's counts are told once more.
     std::optional<std::pair<UsageWindow, Core::MonotonicTime>> m_repetition;
     UsageWindow m_current;
--- a/Libraries/LibCluster/UsageReporter.h
+++ b/Libraries/LibCluster/UsageReporter.h
@@ -322,23 +322,23 @@
     {
         if (Core::elapsed(m_term->reached_store, now) > s_store_silence && m_store_failing)
             return;
-        m_shared.note_word({m_known->version.value(), m_known->seen, now, false});
+        m_shared.merge_status({m_known->version.value(), m_known->seen, now, false});
     }
 
     // As one who may follow.
 
     Core::Milliseconds look_for_lease(Core::MonotonicTime now)
     {
-        auto const word = m_shared.word();
-        if (now < m_next_look || !is_holder_missing(word, now))
+        auto const status = m_shared.status();
+        if (now < m_next_look || !is_holder_missing(status, now))
             return s_interval;
-        bool const is_news = !m_known || word.version > m_known->version.value();
+        bool const is_news = !m_known || status.version > m_known->version.value();
         if (is_news || m_must_read) {
             read();
             return Core::Milliseconds(0);
         }
-        if (word.version == m_known->version.value())
-            m_known->seen = std::min(m_known->seen, word.heard);
+        if (status.version == m_known->version.value())
+            m_known->seen = std::min(m_known->seen, status.version_seen);
         auto const free_at = free_from();
         if (now < free_at)
             return std::min(s_interval, Core::elapsed(now, free_at) + Core::Milliseconds(1));
@@ -346,16 +346,16 @@
         return Core::Milliseconds(0);
     }
 
-    [[nodiscard]] bool is_holder_missing(DutyWord const& word, Core::MonotonicTime now) const
+    [[nodiscard]] bool is_holder_missing(DutyStatus const& status, Core::MonotonicTime now) const
     {
         auto patience = m_spread;
         if (!m_is_watching)
             patience += m_settings.bystander_patience;
         if (Core::elapsed(m_begun, now) < m_settings.acquaintance)
             patience += m_settings.patience;
-        if (word.is_released)
-            return Core::elapsed(word.heard, now) >= patience - m_settings.patience / 2;
-        auto const heard = std::max(word.alive.value_or(m_begun), m_begun);
+        if (status.is_released)
+            return Core::elapsed(status.version_seen, now) >= patience - m_settings.patience / 2;
+        auto const heard = std::max(status.last_alive.value_or(m_begun), m_begun);
         return Core::elapsed(heard, now) >= m_settings.patience + patience;
     }
 
@@ -424,7 +424,7 @@
             lose("another host has taken it over");
         m_known = std::move(known);
         auto const& record = m_known->record;
-        m_shared.note_word({m_known->version.value(), m_known->seen, std::nullopt, record.is_released});
+        m_shared.merge_status({m_known->version.value(), m_known->seen, std::nullopt, record.is_released});
         if (m_term && record.is_released)
             lose("given up");
         if (!is_own || record.is_released)
@@ -448,7 +448,7 @@
         auto const after = m_clock();
         note_store_answer(after);
         m_known = Known {version, std::move(record), after};
-        m_shared.note_word({version.value(), after, now, m_known->record.is_released});
+        m_shared.merge_status({version.value(), after, now, m_known->record.is_released});
     }
 
     void note_store_answer(Core::MonotonicTime now)
--- a/Libraries/LibGateway/DutySharing.cpp
+++ b/Libraries/LibGateway/DutySharing.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-using Cluster::DutyWord;
+using Cluster::DutyStatus;
 using Cluster::UsageWindow;
 using UsageMessages = google::protobuf::RepeatedPtrField<granitefield::protocol::GatewayUsage>;
 
@@ -27,24 +27,24 @@
     return static_cast<std::uint32_t>(age);
 }
 
-void write_word(granitefield::protocol::DutyWord& message, DutyWord const& word, Core::MonotonicTime now)
+void write_status(granitefield::protocol::DutyWord& message, DutyStatus const& status, Core::MonotonicTime now)
 {
-    message.set_version(word.version);
-    message.set_heard_age_ms(age_of(word.heard, now));
-    if (word.alive && Core::elapsed(*word.alive, now) < s_oldest_sign)
-        message.set_alive_age_ms(age_of(*word.alive, now));
-    message.set_is_released(word.is_released);
+    message.set_version(status.version);
+    message.set_heard_age_ms(age_of(status.version_seen, now));
+    if (status.last_alive && Core::elapsed(*status.last_alive, now) < s_oldest_sign)
+        message.set_alive_age_ms(age_of(*status.last_alive, now));
+    message.set_is_released(status.is_released);
 }
 
-DutyWord read_word(granitefield::protocol::DutyWord const& message, Core::MonotonicTime now)
+DutyStatus read_status(granitefield::protocol::DutyWord const& message, Core::MonotonicTime now)
 {
-    DutyWord word;
-    word.version = message.version();
-    word.heard = now - Core::Milliseconds(message.heard_age_ms());
+    DutyStatus status;
+    status.version = message.version();
+    status.version_seen = now - Core::Milliseconds(message.heard_age_ms());
     if (message.has_alive_age_ms())
-        word.alive = now - Core::Milliseconds(message.alive_age_ms());
-    word.is_released = message.is_released();
-    return word;
+        status.last_alive = now - Core::Milliseconds(message.alive_age_ms());
+    status.is_released = message.is_released();
+    return status;
 }
 
 void write_usage(UsageMessages& messages, std::vector<Cluster::GatewayUsage> const& changes)
@@ -115,7 +115,7 @@
 {
     write_usage(*report.mutable_usage(), m_duty.take_changes(s_most_changes));
     report.set_clock_ms(own_clock.time_since_epoch().count());
-    write_word(*report.mutable_duty(), m_duty.word(), now);
+    write_status(*report.mutable_duty(), m_duty.status(), now);
 }
 
 void DutySharing::take_report(granitefield::protocol::GatewayLoad const& report, Core::MonotonicTime now)
@@ -125,14 +125,14 @@
     if (report.clock_ms() > 0)
         m_duty.note_clock(report.sender(), {to_time(report.clock_ms())}, now);
     if (report.has_duty())
-        m_duty.note_word(read_word(report.duty(), now));
+        m_duty.merge_status(read_status(report.duty(), now));
 }
 
 void DutySharing::fill_part(granitefield::protocol::RelayedLoad& part, Core::MonotonicTime now)
 {
     m_duty.follow_clock_readings(now);
     write_usage(*part.mutable_usage(), m_duty.take_changes(s_most_changes));
-    write_word(*part.mutable_duty(), m_duty.word(), now);
+    write_status(*part.mutable_duty(), m_duty.status(), now);
     auto const agreed = m_duty.fleet_time(now);
     auto const median = m_duty.host_median(now);
     if (!agreed || !median)
@@ -153,7 +153,7 @@
     for (auto const& usage : part.usage())
         m_duty.take(read_usage(usage), Cluster::UsageLedger::Relaying::No);
     if (part.has_duty())
-        m_duty.note_word(read_word(part.duty(), now));
+        m_duty.merge_status(read_status(part.duty(), now));
     if (!part.has_time())
         return;
     auto const& time = part.time();
--- a/Libraries/LibGateway/GatewayServer.cpp
+++ b/Libraries/LibGateway/GatewayServer.cpp
@@ -436,15 +436,16 @@
 
 nlohmann::json GatewayServer::usage_status(Cluster::SharedDuty const& usage, Core::MonotonicTime now)
 {
-    auto const word = usage.word();
+    auto const status = usage.status();
     nlohmann::json windows = nlohmann::json::array();
     for (auto const& [window, requests] : usage.window_totals()) {
         auto const left = usage.time_left(window, now);
         windows.push_back(
             {{"window", window.value()}, {"requests", requests}, {"late-in-ms", left ? left->count() : 0}});
     }
-    return {{"lease-version", word.version}, {"released", word.is_released},
-        {"holder-heard-ms-ago", word.alive ? Core::elapsed(*word.alive, now).count() : -1}, {"windows", windows}};
+    return {{"lease-version", status.version}, {"released", status.is_released},
+        {"holder-heard-ms-ago", status.last_alive ? Core::elapsed(*status.last_alive, now).count() : -1},
+        {"windows", windows}};
 }
 
 nlohmann::json GatewayServer::quarantine_status(Policy::CrashLedger const& ledger, Core::MonotonicTime now)
--- a/Tests/LibCluster/DutyWorld.h
+++ b/Tests/LibCluster/DutyWorld.h
@@ -205,12 +205,12 @@
             // Whoever has just begun is told all of it.
             if (std::exchange(has_newcomer, false))
                 usage = from->shared.everything(s_many);
-            auto word = from->shared.word();
-            word.heard += s_latency;
+            auto status = from->shared.status();
+            status.version_seen += s_latency;
             for (auto& to : nodes) {
                 if (!to || to == from || to->host.is_cut_from_peers)
                     continue;
-                to->shared.note_word(word);
+                to->shared.merge_status(status);
                 to->shared.note_clock(from->incarnation, {true_time(now) + from->host.clock_error}, now);
                 to->shared.follow_clock_readings(now);
                 for (auto const& item : usage)
