--- a/Libraries/LibCluster/FleetClock.cpp
+++ b/Libraries/LibCluster/FleetClock.cpp
@@ -11,17 +11,17 @@
     return time.time_since_epoch() - std::chrono::duration_cast<Core::Milliseconds>(now.time_since_epoch());
 }
 
-void FleetClock::note_reading(std::uint64_t id, Reading reading, Core::MonotonicTime now)
+void FleetClock::add_reading(std::uint64_t id, Reading reading, Core::MonotonicTime now)
 {
-    m_sources[id] = {offset_of(reading.time, now), std::max(1U, reading.hosts), reading.source, now};
+    m_readings[id] = {offset_of(reading.time, now), std::max(1U, reading.hosts), reading.source, now};
 }
 
-std::optional<FleetClock::Reading> FleetClock::median(auto takes, Core::MonotonicTime now) const
+std::optional<FleetClock::Reading> FleetClock::median(auto accepts, Core::MonotonicTime now) const
 {
     std::vector<std::pair<Offset, unsigned>> offsets;
     unsigned hosts = 0;
-    for (auto const& [id, source] : m_sources) {
-        if (!takes(source) || Core::elapsed(source.heard, now) > s_memory)
+    for (auto const& [id, source] : m_readings) {
+        if (!accepts(source) || Core::elapsed(source.received, now) > s_reading_lifetime)
             continue;
         offsets.emplace_back(source.offset, source.hosts);
         hosts += source.hosts;
@@ -40,34 +40,35 @@
 
 std::optional<FleetClock::Reading> FleetClock::host_median(Core::MonotonicTime now) const
 {
-    return median([](Known const& known) { return known.source == Source::Host; }, now);
+    return median([](KnownReading const& known) { return known.source == Source::Host; }, now);
 }
 
 void FleetClock::follow_readings(Core::MonotonicTime now)
 {
-    std::erase_if(m_sources, [now](auto const& item) { return Core::elapsed(item.second.heard, now) > s_memory; });
-    if (auto const reading = median([](Known const&) { return true; }, now))
+    std::erase_if(
+        m_readings, [now](auto const& item) { return Core::elapsed(item.second.received, now) > s_reading_lifetime; });
+    if (auto const reading = median([](KnownReading const&) { return true; }, now))
         adopt(offset_of(reading->time, now), reading->hosts, now);
 }
 
-void FleetClock::follow_word(Reading word, Core::MonotonicTime now)
+void FleetClock::follow_agreed_time(Reading agreed, Core::MonotonicTime now)
 {
-    adopt(offset_of(word.time, now), word.hosts, now);
+    adopt(offset_of(agreed.time, now), agreed.hosts, now);
 }
 
 void FleetClock::adopt(Offset offset, unsigned hosts, Core::MonotonicTime now)
 {
-    bool const is_settling = !m_agreed || Core::elapsed(m_begun, now) <= s_settling;
-    bool const knows_better = hosts >= m_agreed_hosts * s_majority;
-    if (is_settling || knows_better || std::chrono::abs(offset - *m_agreed) <= s_noise) {
+    bool const is_settling = !m_agreed || Core::elapsed(m_begun, now) <= s_settling_time;
+    bool const has_majority = hosts >= m_agreed_hosts * s_majority_factor;
+    if (is_settling || has_majority || std::chrono::abs(offset - *m_agreed) <= s_max_latency_error) {
         m_agreed = offset;
-        m_agreed_hosts = knows_better ? hosts : std::max(m_agreed_hosts, hosts);
+        m_agreed_hosts = has_majority ? hosts : std::max(m_agreed_hosts, hosts);
         m_differs_since.reset();
         return;
     }
     if (!m_differs_since)
         m_differs_since = now;
-    if (Core::elapsed(*m_differs_since, now) < s_jump_patience)
+    if (Core::elapsed(*m_differs_since, now) < s_jump_confirmation_time)
         return;
     m_agreed = offset;
     m_differs_since.reset();
--- a/Libraries/LibCluster/FleetClock.h
+++ b/Libraries/LibCluster/FleetClock.h
@@ -20,15 +20,15 @@
 public:
     /// What is heard in the first seconds of a process is believed at once: it may have begun beside a clock that is
     /// off, and its first words come from peers within 300 ms.
-    static constexpr Core::Milliseconds s_settling {3'000};
+    static constexpr Core::Milliseconds s_settling_time {3'000};
     /// Differences up to this are the ways' latencies and are followed; a larger one is a jump.
-    static constexpr Core::Milliseconds s_noise {100};
+    static constexpr Core::Milliseconds s_max_latency_error {100};
     /// A jump is believed when it has lasted for this long. Clocks that jump back do so sooner.
-    static constexpr Core::Milliseconds s_jump_patience {10'000};
+    static constexpr Core::Milliseconds s_jump_confirmation_time {10'000};
     /// A time that so many times more hosts agree on is believed at once: this gateway had been alone with its clock.
-    static constexpr unsigned s_majority {2};
+    static constexpr unsigned s_majority_factor {2};
     /// A source that is silent for this long is left out. Gateways tell their clocks each second.
-    static constexpr Core::Milliseconds s_memory {3'000};
+    static constexpr Core::Milliseconds s_reading_lifetime {3'000};
 
     enum class Source {
         Host,
@@ -48,11 +48,11 @@
     }
 
     /// A clock was read; `id` stands for the host or the group.
-    void note_reading(std::uint64_t id, Reading, Core::MonotonicTime now);
+    void add_reading(std::uint64_t id, Reading, Core::MonotonicTime now);
     /// Looks at the readings; to be called now and then.
     void follow_readings(Core::MonotonicTime now);
     /// Another gateway told the time that it has agreed on with so many hosts.
-    void follow_word(Reading, Core::MonotonicTime now);
+    void follow_agreed_time(Reading, Core::MonotonicTime now);
 
     /// The agreed time; nothing before anything was read.
     [[nodiscard]] std::optional<WallTime> at(Core::MonotonicTime now) const;
@@ -62,20 +62,20 @@
 private:
     using Offset = Core::Milliseconds;
 
-    struct Known {
+    struct KnownReading {
         Offset offset {0};
         unsigned hosts {1};
         Source source {Source::Host};
-        Core::MonotonicTime heard;
+        Core::MonotonicTime received;
     };
 
     /// The weighted median of those that the predicate takes.
-    [[nodiscard]] std::optional<Reading> median(auto takes, Core::MonotonicTime now) const;
+    [[nodiscard]] std::optional<Reading> median(auto accepts, Core::MonotonicTime now) const;
     static Offset offset_of(WallTime time, Core::MonotonicTime now);
     void adopt(Offset, unsigned hosts, Core::MonotonicTime now);
 
     Core::MonotonicTime m_begun;
-    std::map<std::uint64_t, Known> m_sources;
+    std::map<std::uint64_t, KnownReading> m_readings;
     std::optional<Offset> m_agreed;
     /// The most hosts that have agreed on it.
     unsigned m_agreed_hosts {0};
--- a/Libraries/LibCluster/SharedDuty.cpp
+++ b/Libraries/LibCluster/SharedDuty.cpp
@@ -33,7 +33,7 @@
 void SharedDuty::turn(WallTime own_clock, Core::MonotonicTime now)
 {
     std::lock_guard const lock(m_mutex);
-    m_clock.note_reading(m_self, {own_clock}, now);
+    m_clock.add_reading(m_self, {own_clock}, now);
     if (!m_clock.at(now))
         m_clock.follow_readings(now);
     auto const window = window_at(*m_clock.at(now), m_settings.window);
@@ -75,16 +75,16 @@
     m_ledger.take(usage, relaying);
 }
 
-void SharedDuty::note_clock(std::uint64_t id, FleetClock::Reading reading, Core::MonotonicTime now)
+void SharedDuty::add_clock_reading(std::uint64_t id, FleetClock::Reading reading, Core::MonotonicTime now)
 {
     std::lock_guard const lock(m_mutex);
-    m_clock.note_reading(id, reading, now);
+    m_clock.add_reading(id, reading, now);
 }
 
-void SharedDuty::follow_clock_word(FleetClock::Reading word, Core::MonotonicTime now)
+void SharedDuty::follow_agreed_time(FleetClock::Reading agreed, Core::MonotonicTime now)
 {
     std::lock_guard const lock(m_mutex);
-    m_clock.follow_word(word, now);
+    m_clock.follow_agreed_time(agreed, now);
 }
 
 void SharedDuty::follow_clock_readings(Core::MonotonicTime now)
--- a/Libraries/LibCluster/SharedDuty.h
+++ b/Libraries/LibCluster/SharedDuty.h
@@ -46,8 +46,8 @@
     [[nodiscard]] std::vector<GatewayUsage> take_changes(std::size_t most_counts);
     [[nodiscard]] std::vector<GatewayUsage> everything(std::size_t most_counts) const;
     void take(GatewayUsage const&, UsageLedger::Relaying);
-    void note_clock(std::uint64_t id, FleetClock::Reading, Core::MonotonicTime now);
-    void follow_clock_word(FleetClock::Reading, Core::MonotonicTime now);
+    void add_clock_reading(std::uint64_t id, FleetClock::Reading, Core::MonotonicTime now);
+    void follow_agreed_time(FleetClock::Reading, Core::MonotonicTime now);
     void follow_clock_readings(Core::MonotonicTime now);
     [[nodiscard]] std::optional<FleetClock::Reading> host_median(Core::MonotonicTime now) const;
     [[nodiscard]] std::optional<WallTime> fleet_time(Core::MonotonicTime now) const;
--- a/Libraries/LibGateway/DutySharing.cpp
+++ b/Libraries/LibGateway/DutySharing.cpp
@@ -123,7 +123,7 @@
     for (auto const& usage : report.usage())
         m_duty.take(read_usage(usage), Cluster::UsageLedger::Relaying::Yes);
     if (report.clock_ms() > 0)
-        m_duty.note_clock(report.sender(), {to_time(report.clock_ms())}, now);
+        m_duty.add_clock_reading(report.sender(), {to_time(report.clock_ms())}, now);
     if (report.has_duty())
         m_duty.merge_status(read_status(report.duty(), now));
 }
@@ -158,8 +158,9 @@
         return;
     auto const& time = part.time();
     if (sender == Sender::OwnRelay)
-        return m_duty.follow_clock_word({to_time(time.agreed_ms()), time.hosts()}, now);
-    m_duty.note_clock(part.relay(), {to_time(time.median_ms()), time.hosts(), Cluster::FleetClock::Source::Group}, now);
+        return m_duty.follow_agreed_time({to_time(time.agreed_ms()), time.hosts()}, now);
+    m_duty.add_clock_reading(
+        part.relay(), {to_time(time.median_ms()), time.hosts(), Cluster::FleetClock::Source::Group}, now);
 }
 
 }
--- a/Tests/LibCluster/DutyWorld.h
+++ b/Tests/LibCluster/DutyWorld.h
@@ -211,7 +211,7 @@
                 if (!to || to == from || to->host.is_cut_from_peers)
                     continue;
                 to->shared.merge_status(status);
-                to->shared.note_clock(from->incarnation, {true_time(now) + from->host.clock_error}, now);
+                to->shared.add_clock_reading(from->incarnation, {true_time(now) + from->host.clock_error}, now);
                 to->shared.follow_clock_readings(now);
                 for (auto const& item : usage)
                     to->shared.take(item, UsageLedger::Relaying::No);
--- a/Tests/LibCluster/UsageLedgerTest.cpp
+++ b/Tests/LibCluster/UsageLedgerTest.cpp
@@ -105,7 +105,7 @@
     WallTime const time {1'000'000h};
     FleetClock clock(start);
     for (std::uint64_t host = 0; host < 10; ++host)
-        clock.note_reading(host, {host < 3 ? time + 2s : time}, start);
+        clock.add_reading(host, {host < 3 ? time + 2s : time}, start);
     clock.follow_readings(start);
     EXPECT_EQ(clock.at(start), time);
     EXPECT_EQ(clock.at(start + 1'234ms), time + 1'234ms);
@@ -119,7 +119,7 @@
     FleetClock clock(now);
     auto const play = [&](Core::Milliseconds duration, Core::Milliseconds error) {
         for (auto const end = now + duration; now < end; now += 100ms) {
-            clock.note_reading(1, {truth() + error}, now);
+            clock.add_reading(1, {truth() + error}, now);
             clock.follow_readings(now);
         }
     };
@@ -137,9 +137,9 @@
     Core::MonotonicTime const start {1h};
     WallTime const time {1'000'000h};
     FleetClock clock(start);
-    clock.note_reading(1, {time + 5s}, start);
-    clock.note_reading(2, {time + 5s}, start);
-    clock.note_reading(3, {time, 8, FleetClock::Source::Group}, start);
+    clock.add_reading(1, {time + 5s}, start);
+    clock.add_reading(2, {time + 5s}, start);
+    clock.add_reading(3, {time, 8, FleetClock::Source::Group}, start);
     clock.follow_readings(start);
     EXPECT_EQ(clock.at(start), time);
     EXPECT_EQ(clock.host_median(start)->time, time + 5s);
--- a/Tests/LibCluster/UsageReporterTest.cpp
+++ b/Tests/LibCluster/UsageReporterTest.cpp
@@ -279,7 +279,7 @@
         node->host.clock_error = 0ms;
     }
     // Leases have run out, late writes are done, the clocks agree again, and windows begin anew.
-    world.play(FleetClock::s_jump_patience + 5s);
+    world.play(FleetClock::s_jump_confirmation_time + 5s);
     auto const calm = world.now;
     world.play(25s);
     RC_ASSERT(broken_rule(world) == "");
