--- a/Libraries/LibCluster/SharedDuty.cpp
+++ b/Libraries/LibCluster/SharedDuty.cpp
@@ -8,10 +8,10 @@
 
 /// Counts of windows that ended longer ago than their reports are due serve nobody; kept a little longer for clocks
 /// that differ.
-constexpr int s_windows_kept_beyond = 2;
+constexpr int s_extra_windows_kept = 2;
 /// What was lost of a closed window's counts is made good this much later. A lost datagram of ten in a hundred leaves
 /// one count in a hundred to it.
-constexpr Core::Milliseconds s_repetition {250};
+constexpr Core::Milliseconds s_resend_delay {250};
 
 }
 
@@ -30,24 +30,24 @@
         m_ledger.count(window_at(*time, m_settings.window), workspace);
 }
 
-void SharedDuty::turn(WallTime own_clock, Core::MonotonicTime now)
+void SharedDuty::tick(WallTime own_clock, Core::MonotonicTime now)
 {
     std::lock_guard const lock(m_mutex);
     m_clock.add_reading(m_self, {own_clock}, now);
     if (!m_clock.at(now))
         m_clock.follow_readings(now);
     auto const window = window_at(*m_clock.at(now), m_settings.window);
-    if (m_repetition && now >= m_repetition->second) {
-        m_ledger.tell_again(m_repetition->first);
-        m_repetition.reset();
+    if (m_resend && now >= m_resend->second) {
+        m_ledger.resend(m_resend->first);
+        m_resend.reset();
     }
     if (window <= m_current)
         return;
     m_current = window;
     UsageWindow const closed(window.value() - 1);
     m_ledger.close(closed);
-    m_repetition = {closed, now + s_repetition};
-    auto const kept = static_cast<std::uint64_t>(m_settings.late / m_settings.window) + s_windows_kept_beyond;
+    m_resend = {closed, now + s_resend_delay};
+    auto const kept = static_cast<std::uint64_t>(m_settings.late / m_settings.window) + s_extra_windows_kept;
     m_ledger.forget_before(UsageWindow(window.value() - std::min(window.value(), kept)));
 }
 
@@ -57,22 +57,22 @@
     return m_ledger.has_changes();
 }
 
-std::vector<GatewayUsage> SharedDuty::take_changes(std::size_t most_counts)
+std::vector<GatewayUsage> SharedDuty::take_changes(std::size_t max_counts)
 {
     std::lock_guard const lock(m_mutex);
-    return m_ledger.take_changes(most_counts);
+    return m_ledger.take_changes(max_counts);
 }
 
-std::vector<GatewayUsage> SharedDuty::everything(std::size_t most_counts) const
+std::vector<GatewayUsage> SharedDuty::usage_snapshot(std::size_t max_counts) const
 {
     std::lock_guard const lock(m_mutex);
-    return m_ledger.everything(most_counts);
+    return m_ledger.snapshot(max_counts);
 }
 
-void SharedDuty::take(GatewayUsage const& usage, UsageLedger::Relaying relaying)
+void SharedDuty::merge_usage(GatewayUsage const& usage, UsageLedger::Relaying relaying)
 {
     std::lock_guard const lock(m_mutex);
-    m_ledger.take(usage, relaying);
+    m_ledger.merge(usage, relaying);
 }
 
 void SharedDuty::add_clock_reading(std::uint64_t id, FleetClock::Reading reading, Core::MonotonicTime now)
--- a/Libraries/LibCluster/SharedDuty.h
+++ b/Libraries/LibCluster/SharedDuty.h
@@ -41,11 +41,11 @@
     // For the exchange with other gateways.
 
     /// Reads this host's clock, and closes windows that have ended.
-    void turn(WallTime own_clock, Core::MonotonicTime now);
+    void tick(WallTime own_clock, Core::MonotonicTime now);
     [[nodiscard]] bool has_changes() const;
-    [[nodiscard]] std::vector<GatewayUsage> take_changes(std::size_t most_counts);
-    [[nodiscard]] std::vector<GatewayUsage> everything(std::size_t most_counts) const;
-    void take(GatewayUsage const&, UsageLedger::Relaying);
+    [[nodiscard]] std::vector<GatewayUsage> take_changes(std::size_t max_counts);
+    [[nodiscard]] std::vector<GatewayUsage> usage_snapshot(std::size_t max_counts) const;
+    void merge_usage(GatewayUsage const&, UsageLedger::Relaying);
     void add_clock_reading(std::uint64_t id, FleetClock::Reading, Core::MonotonicTime now);
     void follow_agreed_time(FleetClock::Reading, Core::MonotonicTime now);
     void follow_clock_readings(Core::MonotonicTime now);
@@ -74,7 +74,7 @@
     UsageLedger m_ledger;
     DutyStatus m_status;
     /// When the closed window's counts are told once more.
-    std::optional<std::pair<UsageWindow, Core::MonotonicTime>> m_repetition;
+    std::optional<std::pair<UsageWindow, Core::MonotonicTime>> m_resend;
     UsageWindow m_current;
 };
 
--- a/Libraries/LibCluster/UsageLedger.cpp
+++ b/Libraries/LibCluster/UsageLedger.cpp
@@ -18,10 +18,10 @@
         return;
     own.closed = window;
     m_closed_changes.insert(m_self);
-    tell_again(window);
+    resend(window);
 }
 
-void UsageLedger::tell_again(UsageWindow window)
+void UsageLedger::resend(UsageWindow window)
 {
     auto const& own = m_gateways[m_self];
     auto const found = own.windows.find(window);
@@ -32,7 +32,7 @@
         m_changes.insert({m_self, window, workspace});
 }
 
-void UsageLedger::take(GatewayUsage const& usage, Relaying relaying)
+void UsageLedger::merge(GatewayUsage const& usage, Relaying relaying)
 {
     if (usage.gateway == m_self)
         return;
@@ -53,43 +53,43 @@
     }
 }
 
-std::vector<GatewayUsage> UsageLedger::take_changes(std::size_t most_counts)
+std::vector<GatewayUsage> UsageLedger::take_changes(std::size_t max_counts)
 {
-    std::map<std::uint64_t, GatewayUsage> told;
+    std::map<std::uint64_t, GatewayUsage> by_gateway;
     std::size_t count = 0;
-    for (auto item = m_changes.begin(); item != m_changes.end() && count < most_counts; ++count) {
+    for (auto item = m_changes.begin(); item != m_changes.end() && count < max_counts; ++count) {
         auto const& change = *item;
         auto const& known = m_gateways[change.gateway].windows[change.window];
         if (auto const found = known.find(change.workspace); found != known.end())
-            told[change.gateway].windows[change.window][change.workspace] = found->second;
+            by_gateway[change.gateway].windows[change.window][change.workspace] = found->second;
         m_changes.erase(item++);
     }
     // A window is final for others only when all its counts have come.
     if (m_changes.empty()) {
         for (auto const gateway : m_closed_changes)
-            told[gateway].closed = m_gateways[gateway].closed;
+            by_gateway[gateway].closed = m_gateways[gateway].closed;
         m_closed_changes.clear();
     }
     std::vector<GatewayUsage> result;
-    for (auto& [gateway, usage] : told) {
+    for (auto& [gateway, usage] : by_gateway) {
         usage.gateway = gateway;
         result.push_back(std::move(usage));
     }
     return result;
 }
 
-std::vector<GatewayUsage> UsageLedger::everything(std::size_t most_counts) const
+std::vector<GatewayUsage> UsageLedger::snapshot(std::size_t max_counts) const
 {
-    std::vector<GatewayUsage> told;
+    std::vector<GatewayUsage> result;
     std::size_t count = 0;
     for (auto const& [gateway, counts] : m_gateways) {
         for (auto const& [window, by_workspace] : counts.windows)
             count += by_workspace.size();
-        if (count > most_counts)
+        if (count > max_counts)
             break;
-        told.push_back({gateway, counts.closed, counts.windows});
+        result.push_back({gateway, counts.closed, counts.windows});
     }
-    return told;
+    return result;
 }
 
 std::vector<UsageWindow> UsageLedger::windows_after(UsageWindow limit) const
--- a/Libraries/LibCluster/UsageLedger.h
+++ b/Libraries/LibCluster/UsageLedger.h
@@ -17,7 +17,7 @@
 struct GatewayUsage {
     /// The gateway's incarnation.
     std::uint64_t gateway {0};
-    /// All of its counts up to this window are final and have been told.
+    /// All of its counts up to this window are final and have been result.
     UsageWindow closed;
     /// Of windows and workspaces; a count replaces a smaller one.
     std::map<UsageWindow, UsageCounts> windows;
@@ -40,19 +40,19 @@
     /// the way is made good, and whoever began meanwhile has them.
     void close(UsageWindow);
     /// Tells the counts of that closed window once more.
-    void tell_again(UsageWindow);
+    void resend(UsageWindow);
 
     /// Whether what was taken is to be told to others as well.
     enum class Relaying {
         No,
         Yes,
     };
-    void take(GatewayUsage const&, Relaying);
+    void merge(GatewayUsage const&, Relaying);
 
     /// What is new to be told since the last call, at most so many counts; the others with the next call.
-    [[nodiscard]] std::vector<GatewayUsage> take_changes(std::size_t most_counts);
+    [[nodiscard]] std::vector<GatewayUsage> take_changes(std::size_t max_counts);
     /// All that is known, at most so many counts; for one that has just begun.
-    [[nodiscard]] std::vector<GatewayUsage> everything(std::size_t most_counts) const;
+    [[nodiscard]] std::vector<GatewayUsage> snapshot(std::size_t max_counts) const;
     [[nodiscard]] bool has_changes() const { return !m_changes.empty() || !m_closed_changes.empty(); }
 
     /// Windows behind that one in which something was counted.
@@ -70,7 +70,7 @@
         std::map<UsageWindow, UsageCounts> windows;
     };
 
-    /// A count that is to be told.
+    /// A count that is to be result.
     struct Change {
         std::uint64_t gateway {0};
         UsageWindow window;
@@ -88,7 +88,7 @@
     std::uint64_t m_self;
     std::map<std::uint64_t, Counts> m_gateways;
     absl::flat_hash_set<Change> m_changes;
-    /// Gateways whose last final window is to be told.
+    /// Gateways whose last final window is to be result.
     absl::flat_hash_set<std::uint64_t> m_closed_changes;
 };
 
--- a/Libraries/LibGateway/DutySharing.cpp
+++ b/Libraries/LibGateway/DutySharing.cpp
@@ -121,7 +121,7 @@
 void DutySharing::take_report(granitefield::protocol::GatewayLoad const& report, Core::MonotonicTime now)
 {
     for (auto const& usage : report.usage())
-        m_duty.take(read_usage(usage), Cluster::UsageLedger::Relaying::Yes);
+        m_duty.merge_usage(read_usage(usage), Cluster::UsageLedger::Relaying::Yes);
     if (report.clock_ms() > 0)
         m_duty.add_clock_reading(report.sender(), {to_time(report.clock_ms())}, now);
     if (report.has_duty())
@@ -145,13 +145,13 @@
 
 void DutySharing::fill_everything(granitefield::protocol::RelayedLoad& part)
 {
-    write_usage(*part.mutable_usage(), m_duty.everything(s_most_counts - s_most_changes));
+    write_usage(*part.mutable_usage(), m_duty.usage_snapshot(s_most_counts - s_most_changes));
 }
 
 void DutySharing::take_part(granitefield::protocol::RelayedLoad const& part, Sender sender, Core::MonotonicTime now)
 {
     for (auto const& usage : part.usage())
-        m_duty.take(read_usage(usage), Cluster::UsageLedger::Relaying::No);
+        m_duty.merge_usage(read_usage(usage), Cluster::UsageLedger::Relaying::No);
     if (part.has_duty())
         m_duty.merge_status(read_status(part.duty(), now));
     if (!part.has_time())
--- a/Libraries/LibGateway/LoadSharing.cpp
+++ b/Libraries/LibGateway/LoadSharing.cpp
@@ -327,7 +327,7 @@
 std::vector<OutgoingLoad> LoadSharing::turn(Cluster::WallTime own_clock, Core::MonotonicTime now)
 {
     if (m_duties != nullptr)
-        m_duties->duty().turn(own_clock, now);
+        m_duties->duty().tick(own_clock, now);
     m_suspicions.forget_old(now);
     m_relays.forget_silent(now, s_relay_memory, s_entry_memory);
     for (auto const gateway : m_ledger.forget_silent(now))
--- a/Meta/deliberate-breaks.sh
+++ b/Meta/deliberate-breaks.sh
@@ -56,7 +56,7 @@
     '42|Libraries/LibCluster/UsageReporter.h|s/return is_free ? m_known/return !is_free ? m_known->seen : is_free ? m_known/|UsageReporterTest|*CutOffFromItsPeers*'
     '43|Libraries/LibCluster/UsageReporter.h|s/bool const can_send = now < m_term->valid_until;/bool const can_send = true;/;s/std::min(m_settings.call_timeout, Core::elapsed(now, m_term->valid_until));/m_settings.call_timeout;/|UsageReporterTest|*WhateverFails*'
     '44|Libraries/LibCluster/UsageReporter.h|s/record.recorded_through = report.window;/static_cast<void>(report.window);/|UsageReporterTest|*EachWindowOnce*'
-    '45|Libraries/LibCluster/UsageLedger.cpp|s/    tell_again(window);/    static_cast<void>(window);/|UsageLedgerTest|*RepeatsLosses*'
+    '45|Libraries/LibCluster/UsageLedger.cpp|s/    resend(window);/    static_cast<void>(window);/|UsageLedgerTest|*RepeatsLosses*'
     '46|Libraries/LibCluster/FleetClock.cpp|s/return passed \* 2 >= hosts;/return passed >= hosts;/|UsageReporterTest|*ClocksThatJump*'
     '47|Libraries/LibPolicy/Admission.cpp|s/if (!is_in_place \&\& (!is_late/if ((is_in_place ? true : true) \&\& (is_late ? true : true/|OverloadTest|*ServesNoFewer*'
     '48|Libraries/LibPolicy/Admission.cpp|s/is_lower_rank_open(service, question.rank, now)/(is_lower_rank_open(service, question.rank, now) \&\& false)/|AdmissionTest|*NoUrgentRequest*'
--- a/Tests/LibCluster/DutyWorld.h
+++ b/Tests/LibCluster/DutyWorld.h
@@ -194,7 +194,7 @@
         for (auto& node : nodes) {
             if (!node)
                 continue;
-            node->shared.turn(true_time(now) + node->host.clock_error, now);
+            node->shared.tick(true_time(now) + node->host.clock_error, now);
             if (counts)
                 count(*node);
         }
@@ -204,7 +204,7 @@
             auto usage = from->shared.take_changes(s_many);
             // Whoever has just begun is told all of it.
             if (std::exchange(has_newcomer, false))
-                usage = from->shared.everything(s_many);
+                usage = from->shared.usage_snapshot(s_many);
             auto status = from->shared.status();
             status.version_seen += s_latency;
             for (auto& to : nodes) {
@@ -214,7 +214,7 @@
                 to->shared.add_clock_reading(from->incarnation, {true_time(now) + from->host.clock_error}, now);
                 to->shared.follow_clock_readings(now);
                 for (auto const& item : usage)
-                    to->shared.take(item, UsageLedger::Relaying::No);
+                    to->shared.merge_usage(item, UsageLedger::Relaying::No);
             }
         }
     }
--- a/Tests/LibCluster/UsageLedgerTest.cpp
+++ b/Tests/LibCluster/UsageLedgerTest.cpp
@@ -28,7 +28,7 @@
     second.count(s_window, "a");
     second.count(s_window, "b");
     for (auto const& usage : first.take_changes(s_any_number))
-        second.take(usage, UsageLedger::Relaying::No);
+        second.merge(usage, UsageLedger::Relaying::No);
     EXPECT_EQ(second.totals(s_window), (UsageCounts {{"a", 3}, {"b", 1}}));
     EXPECT_EQ(first.totals(s_window), (UsageCounts {{"a", 2}}));
 }
@@ -40,12 +40,12 @@
     first.count(s_window, "a");
     second.count(s_window, "a");
     for (auto const& usage : first.take_changes(s_any_number))
-        second.take(usage, UsageLedger::Relaying::No);
+        second.merge(usage, UsageLedger::Relaying::No);
     second.close(s_window);
     EXPECT_FALSE(second.is_closed_by_all(s_window));
     first.close(s_window);
     for (auto const& usage : first.take_changes(s_any_number))
-        second.take(usage, UsageLedger::Relaying::No);
+        second.merge(usage, UsageLedger::Relaying::No);
     EXPECT_TRUE(second.is_closed_by_all(s_window));
 }
 
@@ -59,7 +59,7 @@
     while (first.has_changes()) {
         EXPECT_TRUE(second.totals(s_window).size() < 10 && second.windows_after(UsageWindow()).size() <= 1);
         for (auto const& usage : first.take_changes(4))
-            second.take(usage, UsageLedger::Relaying::No);
+            second.merge(usage, UsageLedger::Relaying::No);
         EXPECT_EQ(second.is_closed_by_all(s_window), second.totals(s_window).size() == 10);
     }
     EXPECT_EQ(second.totals(s_window).size(), 10U);
@@ -80,21 +80,21 @@
         ++truth[workspace];
         for (auto const& usage : gateway.take_changes(s_any_number)) {
             if (!happens(0.3))
-                relay.take(usage, UsageLedger::Relaying::Yes);
+                relay.merge(usage, UsageLedger::Relaying::Yes);
         }
         std::ranges::copy(relay.take_changes(s_any_number), std::back_inserter(under_way));
     }
     std::ranges::shuffle(under_way, generator);
     for (auto const& usage : under_way) {
         for (int copy = happens(0.2) ? 0 : 1 + static_cast<int>(generator() % 2); copy > 0; --copy)
-            holder.take(usage, UsageLedger::Relaying::No);
+            holder.merge(usage, UsageLedger::Relaying::No);
     }
     // The end of the window makes all losses good.
     gateway.close(s_window);
     for (auto const& usage : gateway.take_changes(s_any_number))
-        relay.take(usage, UsageLedger::Relaying::Yes);
+        relay.merge(usage, UsageLedger::Relaying::Yes);
     for (auto const& usage : relay.take_changes(s_any_number))
-        holder.take(usage, UsageLedger::Relaying::No);
+        holder.merge(usage, UsageLedger::Relaying::No);
     RC_ASSERT(holder.totals(s_window) == truth);
     RC_ASSERT(holder.is_closed_by_all(s_window));
 }
