--- a/Libraries/LibCluster/DutyRecord.h
+++ b/Libraries/LibCluster/DutyRecord.h
@@ -24,7 +24,7 @@
 /// send. It is only written under the version that was read, so that its versions form one chain.
 struct DutyRecord {
     /// Holders before the present one that are remembered.
-    static constexpr std::size_t s_most_recent = 8;
+    static constexpr std::size_t s_max_recent_holders = 8;
 
     /// The host that holds the duty: its name and address, since another host may come under the same name.
     std::string holder;
@@ -49,15 +49,15 @@
     }
 
     /// Another host follows.
-    void hand_over(std::string host, std::uint64_t its_term)
+    void hand_over(std::string host, std::uint64_t new_term)
     {
         if (!holder.empty() && holder != host)
             recent_holders.push_back(std::exchange(holder, host));
         holder = std::move(host);
         std::erase(recent_holders, holder);
-        if (recent_holders.size() > s_most_recent)
+        if (recent_holders.size() > s_max_recent_holders)
             recent_holders.erase(recent_holders.begin());
-        term = its_term;
+        term = new_term;
         token = 0;
         is_released = false;
     }
--- a/Libraries/LibCluster/DutyThread.h
+++ b/Libraries/LibCluster/DutyThread.h
@@ -29,7 +29,7 @@
 class DutyThread {
 public:
     /// Two steps follow each other no sooner, whatever they say.
-    static constexpr Core::Milliseconds s_shortest_pause {5};
+    static constexpr Core::Milliseconds s_min_pause {5};
 
     DutyThread(Duty& duty, std::function<bool()> is_watching)
         : m_duty(duty)
@@ -59,7 +59,7 @@
     {
         while (!m_is_stopped) {
             m_duty.set_watching(m_is_watching());
-            auto const pause = std::max(s_shortest_pause, m_duty.step());
+            auto const pause = std::max(s_min_pause, m_duty.step());
             std::unique_lock lock(m_mutex);
             m_signal.wait_for(lock, pause, [this] { return m_is_stopped.load(); });
         }
--- a/Libraries/LibCluster/QuarantineKeeper.h
+++ b/Libraries/LibCluster/QuarantineKeeper.h
@@ -23,8 +23,8 @@
     /// Between two looks; a quarantine stands in the store about so long after it was concluded.
     static constexpr Core::Milliseconds s_interval {1'000};
     /// After a call that failed: it doubles up to the longest.
-    static constexpr Core::Milliseconds s_shortest_pause {250};
-    static constexpr Core::Milliseconds s_longest_pause {4'000};
+    static constexpr Core::Milliseconds s_min_backoff {250};
+    static constexpr Core::Milliseconds s_max_backoff {4'000};
 
     QuarantineKeeper(SharedQuarantine& shared, Store& store, Observe::EventLog& log)
         : m_shared(shared)
@@ -51,11 +51,11 @@
                 write(m_changes.front());
                 m_changes.pop_front();
             }
-            m_pause = s_shortest_pause;
+            m_backoff = s_min_backoff;
             return s_interval;
         } catch (Platform::PlatformUnavailable const& error) {
             m_log.write(Observe::LogEvent("quarantine-store-lost").add("reason", error.what()));
-            return std::exchange(m_pause, std::min(m_pause * 2, s_longest_pause));
+            return std::exchange(m_backoff, std::min(m_backoff * 2, s_max_backoff));
         }
     }
 
@@ -102,7 +102,7 @@
     bool m_has_loaded {false};
     std::deque<QuarantineChange> m_changes;
     absl::flat_hash_set<Core::RequestDigest> m_stored;
-    Core::Milliseconds m_pause {s_shortest_pause};
+    Core::Milliseconds m_backoff {s_min_backoff};
 };
 
 }
--- a/Libraries/LibCluster/SharedDuty.cpp
+++ b/Libraries/LibCluster/SharedDuty.cpp
@@ -47,7 +47,7 @@
     UsageWindow const closed(window.value() - 1);
     m_ledger.close(closed);
     m_resend = {closed, now + s_resend_delay};
-    auto const kept = static_cast<std::uint64_t>(m_settings.late / m_settings.window) + s_extra_windows_kept;
+    auto const kept = static_cast<std::uint64_t>(m_settings.report_deadline / m_settings.window) + s_extra_windows_kept;
     m_ledger.forget_before(UsageWindow(window.value() - std::min(window.value(), kept)));
 }
 
@@ -120,9 +120,9 @@
 bool SharedDuty::is_settled(UsageWindow window, WallTime time) const
 {
     auto const passed = time - end_of(window, m_settings.window);
-    if (passed < UsageSettings::s_shortest_wait)
+    if (passed < UsageSettings::s_min_wait)
         return false;
-    return m_ledger.is_closed_by_all(window) || passed >= m_settings.late * UsageSettings::s_longest_wait_part;
+    return m_ledger.is_closed_by_all(window) || passed >= m_settings.report_deadline * UsageSettings::s_max_wait_ratio;
 }
 
 std::vector<UsageReport> SharedDuty::settled_reports(UsageWindow after, Core::MonotonicTime now) const
@@ -135,7 +135,7 @@
     for (auto const window : m_ledger.windows_after(after)) {
         if (!is_settled(window, *time))
             break;
-        if (*time < end_of(window, m_settings.window) + m_settings.late)
+        if (*time < end_of(window, m_settings.window) + m_settings.report_deadline)
             reports.push_back({window, m_ledger.totals(window)});
     }
     return reports;
@@ -156,7 +156,7 @@
     auto const time = m_clock.at(now);
     if (!time)
         return std::nullopt;
-    return end_of(window, m_settings.window) + m_settings.late - *time;
+    return end_of(window, m_settings.window) + m_settings.report_deadline - *time;
 }
 
 }
--- a/Libraries/LibCluster/SharedDuty.h
+++ b/Libraries/LibCluster/SharedDuty.h
@@ -19,13 +19,13 @@
 struct UsageSettings {
     Core::Milliseconds window {5'000};
     /// A report is worth nothing this long after the end of its window.
-    Core::Milliseconds late {10'000};
+    Core::Milliseconds report_deadline {10'000};
     /// Gateways that have not said that their counts are final are waited for, up to this part of `late`: what they
     /// counted may be on its way, and the rest is left for a change of holder and for refused calls.
-    static constexpr double s_longest_wait_part = 0.4;
+    static constexpr double s_max_wait_ratio = 0.4;
     /// What was counted in the last moment of a window is known everywhere by then: three reports of 50 ms each, and
     /// the time that a slow host takes to look.
-    static constexpr Core::Milliseconds s_shortest_wait {400};
+    static constexpr Core::Milliseconds s_min_wait {400};
 };
 
 /// What a gateway's thread and the thread of the duty both need: the counted usage, the agreed time, and the word on
--- a/Libraries/LibCluster/UsageReporter.h
+++ b/Libraries/LibCluster/UsageReporter.h
@@ -69,17 +69,17 @@
     /// For so long after a write the holder may act, and nobody else.
     Core::Milliseconds lease {3'000};
     /// The holder stops acting this much earlier, since a process may sleep between looking at the clock and sending.
-    Core::Milliseconds margin {500};
+    Core::Milliseconds lease_margin {500};
     Core::Milliseconds call_timeout {800};
     /// Between two calls to the recipient, which bounds the calls of all gateways together.
-    Core::Milliseconds call_pause {200};
+    Core::Milliseconds min_call_interval {200};
     /// So long the holder is not heard of before this gateway asks the store. It speaks each 100 ms; with a relay's
     /// death 350 ms pass before the next one speaks.
-    Core::Milliseconds patience {800};
+    Core::Milliseconds holder_timeout {800};
     /// Gateways that do not watch the store leave it to those who do for this much longer.
-    Core::Milliseconds bystander_patience {2'500};
+    Core::Milliseconds non_watcher_delay {2'500};
     /// One that has just begun has not heard all counts of the windows that are open, and leaves it to the others.
-    Core::Milliseconds acquaintance {5'000};
+    Core::Milliseconds startup_period {5'000};
 };
 
 /// One gateway's part in the duty of reporting usage, which one gateway at a time has. Who has it is settled by one
@@ -102,14 +102,14 @@
     /// Between two looks while there is nothing to do.
     static constexpr Core::Milliseconds s_interval {200};
     /// After a call to the store that failed: it doubles up to the longest.
-    static constexpr Core::Milliseconds s_shortest_pause {200};
-    static constexpr Core::Milliseconds s_longest_pause {1'000};
+    static constexpr Core::Milliseconds s_min_backoff {200};
+    static constexpr Core::Milliseconds s_max_backoff {1'000};
     /// A holder whose reports fail for this long gives the lease up, since another gateway may reach the recipient.
-    static constexpr Core::Milliseconds s_failing_limit {2'500};
+    static constexpr Core::Milliseconds s_max_failing_time {2'500};
     /// It leaves the lease to others for so long then.
-    static constexpr Core::Milliseconds s_rest {4'000};
+    static constexpr Core::Milliseconds s_release_cooldown {4'000};
     /// A holder that has not reached the store for this long no longer says that it is there.
-    static constexpr Core::Milliseconds s_store_silence {1'500};
+    static constexpr Core::Milliseconds s_max_store_silence {1'500};
 
     using Clock = std::function<Core::MonotonicTime()>;
 
@@ -117,9 +117,9 @@
     UsageReporter(DutySettings settings, std::uint64_t incarnation, double order, Clock clock, SharedDuty& shared,
         Store& store, Recipient& recipient, Observe::EventLog& log, Observe::MetricRegistry& metrics)
         : m_settings(std::move(settings))
-        , m_self(m_settings.name + "@" + m_settings.address)
+        , m_own_id(m_settings.name + "@" + m_settings.address)
         , m_incarnation(incarnation)
-        , m_spread(std::chrono::duration_cast<Core::Milliseconds>(m_settings.patience * order))
+        , m_spread(std::chrono::duration_cast<Core::Milliseconds>(m_settings.holder_timeout * order))
         , m_clock(std::move(clock))
         , m_shared(shared)
         , m_store(store)
@@ -129,7 +129,7 @@
         , m_writes(metrics.counter("granitefield_duty_store_calls_total"))
         , m_accepted(metrics.counter("granitefield_usage_reports_total", {{"outcome", "accepted"}}))
         , m_missed(metrics.counter("granitefield_usage_reports_total", {{"outcome", "missed"}}))
-        , m_begun(m_clock())
+        , m_started(m_clock())
     {
     }
 
@@ -144,7 +144,7 @@
         auto const now = m_clock();
         try {
             auto const pause = m_term ? act_as_holder(now) : look_for_lease(now);
-            m_store_pause = s_shortest_pause;
+            m_store_backoff = s_min_backoff;
             return pause;
         } catch (Platform::VersionConflict const&) {
             // Somebody else has written, or a write of this gateway's own was done late.
@@ -154,8 +154,8 @@
             // What was asked may have been done, or may be done later.
             m_must_read = true;
             note_store_failure(error.what(), m_clock());
-            auto const pause = m_store_pause;
-            m_store_pause = std::min(m_store_pause * 2, s_longest_pause);
+            auto const pause = m_store_backoff;
+            m_store_backoff = std::min(m_store_backoff * 2, s_max_backoff);
             return pause;
         }
     }
@@ -170,7 +170,7 @@
             if (m_must_read)
                 read();
             if (m_term)
-                give_up("stopping");
+                release_lease("stopping");
         } catch (std::runtime_error const& error) {
             m_log.write(Observe::LogEvent("duty-release-failed").add("reason", error.what()));
         }
@@ -202,7 +202,7 @@
             read();
             return Core::Milliseconds(0);
         }
-        tell_alive(now);
+        announce_alive(now);
         drop_late_reports(now);
         auto const fresh = m_shared.settled_reports(m_known->record.recorded_through, now);
         auto* const unsent = first_unsent();
@@ -233,7 +233,7 @@
                             .add("workspaces", report.counts.size())
                             .add("requests", total_of(report.counts)));
         }
-        m_term->valid_until = now + m_settings.lease - m_settings.margin;
+        m_term->valid_until = now + m_settings.lease - m_settings.lease_margin;
     }
 
     Core::Milliseconds send_report(RecordedReport& recorded)
@@ -245,7 +245,7 @@
         ++m_tries;
         auto const outcome = m_recipient.send(recorded.report, {m_settings.name, m_term->token}, limit);
         auto const after = m_clock();
-        m_next_send = after + m_settings.call_pause;
+        m_next_send = after + m_settings.min_call_interval;
         m_log.write(Observe::LogEvent("usage-sent")
                         .add("window", recorded.report.window.value())
                         .add("requests", total_of(recorded.report.counts))
@@ -261,7 +261,7 @@
             m_tries = 0;
             break;
         case ReportOutcome::Outdated:
-            lose("the recipient has seen a later holder");
+            drop_lease("the recipient has seen a later holder");
             m_must_read = true;
             break;
         case ReportOutcome::OverRate:
@@ -277,21 +277,21 @@
     {
         if (!m_failing_since)
             m_failing_since = now;
-        if (Core::elapsed(*m_failing_since, now) < s_failing_limit)
+        if (Core::elapsed(*m_failing_since, now) < s_max_failing_time)
             return;
         m_failing_since.reset();
-        m_next_look = now + s_rest;
-        give_up("reports fail");
+        m_next_check = now + s_release_cooldown;
+        release_lease("reports fail");
     }
 
-    void give_up(std::string_view reason)
+    void release_lease(std::string_view reason)
     {
         auto record = m_known->record;
         record.token = m_term->token;
         record.is_released = true;
         auto const token = m_term->token;
         write(std::move(record), m_clock());
-        lose(reason);
+        drop_lease(reason);
         m_log.write(Observe::LogEvent("duty-released").add("token", token).add("reason", reason));
     }
 
@@ -318,9 +318,9 @@
         return found == reports.end() ? nullptr : &*found;
     }
 
-    void tell_alive(Core::MonotonicTime now)
+    void announce_alive(Core::MonotonicTime now)
     {
-        if (Core::elapsed(m_term->reached_store, now) > s_store_silence && m_store_failing)
+        if (Core::elapsed(m_term->reached_store, now) > s_max_store_silence && m_store_failing)
             return;
         m_shared.merge_status({m_known->version.value(), m_known->seen, now, false});
     }
@@ -330,55 +330,55 @@
     Core::Milliseconds look_for_lease(Core::MonotonicTime now)
     {
         auto const status = m_shared.status();
-        if (now < m_next_look || !is_holder_missing(status, now))
+        if (now < m_next_check || !is_holder_missing(status, now))
             return s_interval;
-        bool const is_news = !m_known || status.version > m_known->version.value();
-        if (is_news || m_must_read) {
+        bool const is_newer = !m_known || status.version > m_known->version.value();
+        if (is_newer || m_must_read) {
             read();
             return Core::Milliseconds(0);
         }
         if (status.version == m_known->version.value())
             m_known->seen = std::min(m_known->seen, status.version_seen);
-        auto const free_at = free_from();
-        if (now < free_at)
-            return std::min(s_interval, Core::elapsed(now, free_at) + Core::Milliseconds(1));
-        take_over(now);
+        auto const acquirable_at = acquirable_from();
+        if (now < acquirable_at)
+            return std::min(s_interval, Core::elapsed(now, acquirable_at) + Core::Milliseconds(1));
+        acquire_lease(now);
         return Core::Milliseconds(0);
     }
 
     [[nodiscard]] bool is_holder_missing(DutyStatus const& status, Core::MonotonicTime now) const
     {
-        auto patience = m_spread;
+        auto delay = m_spread;
         if (!m_is_watching)
-            patience += m_settings.bystander_patience;
-        if (Core::elapsed(m_begun, now) < m_settings.acquaintance)
-            patience += m_settings.patience;
+            delay += m_settings.non_watcher_delay;
+        if (Core::elapsed(m_started, now) < m_settings.startup_period)
+            delay += m_settings.holder_timeout;
         if (status.is_released)
-            return Core::elapsed(status.version_seen, now) >= patience - m_settings.patience / 2;
-        auto const heard = std::max(status.last_alive.value_or(m_begun), m_begun);
-        return Core::elapsed(heard, now) >= m_settings.patience + patience;
+            return Core::elapsed(status.version_seen, now) >= delay - m_settings.holder_timeout / 2;
+        auto const heard = std::max(status.last_alive.value_or(m_started), m_started);
+        return Core::elapsed(heard, now) >= m_settings.holder_timeout + delay;
     }
 
     /// From when on nobody else can act under the version that is known.
-    [[nodiscard]] Core::MonotonicTime free_from() const
+    [[nodiscard]] Core::MonotonicTime acquirable_from() const
     {
         auto const& record = m_known->record;
-        bool const was_this_host = record.holder == m_self;
+        bool const was_this_host = record.holder == m_own_id;
         bool const is_free
-            = record.holder.empty() || was_this_host || (record.is_released && !record.was_held_recently_by(m_self));
+            = record.holder.empty() || was_this_host || (record.is_released && !record.was_held_recently_by(m_own_id));
         return is_free ? m_known->seen : m_known->seen + m_settings.lease;
     }
 
-    void take_over(Core::MonotonicTime now)
+    void acquire_lease(Core::MonotonicTime now)
     {
         auto record = m_known->record;
         auto const before = record.holder;
-        record.hand_over(m_self, m_incarnation);
+        record.hand_over(m_own_id, m_incarnation);
         write(std::move(record), now);
-        begin_term(m_known->version.value(), now + m_settings.lease - m_settings.margin, before);
+        start_term(m_known->version.value(), now + m_settings.lease - m_settings.lease_margin, before);
     }
 
-    void begin_term(std::uint64_t token, Core::MonotonicTime valid_until, std::string const& before)
+    void start_term(std::uint64_t token, Core::MonotonicTime valid_until, std::string const& before)
     {
         m_term = Term {token, valid_until, m_clock()};
         m_failing_since.reset();
@@ -387,7 +387,7 @@
         m_log.write(Observe::LogEvent("duty-taken").add("token", token).add("before", before));
     }
 
-    void lose(std::string_view reason)
+    void drop_lease(std::string_view reason)
     {
         m_log.write(Observe::LogEvent("duty-lost").add("token", m_term->token).add("reason", reason));
         m_term.reset();
@@ -409,31 +409,31 @@
         auto record = decode_duty_record(object->spec);
         if (!record) {
             m_log.write(Observe::LogEvent("duty-unreadable").add("version", object->version.value()));
-            m_next_look = now + s_rest;
+            m_next_check = now + s_release_cooldown;
             return;
         }
         bool const is_same = m_known && m_known->version == object->version;
         auto const seen = is_same ? m_known->seen : now;
-        take_known({object->version, *std::move(record), seen});
+        apply_known({object->version, *std::move(record), seen});
     }
 
-    void take_known(Known known)
+    void apply_known(Known known)
     {
-        bool const is_own = known.record.holder == m_self && known.record.term == m_incarnation;
+        bool const is_own = known.record.holder == m_own_id && known.record.term == m_incarnation;
         if (m_term && !is_own)
-            lose("another host has taken it over");
+            drop_lease("another host has taken it over");
         m_known = std::move(known);
         auto const& record = m_known->record;
         m_shared.merge_status({m_known->version.value(), m_known->seen, std::nullopt, record.is_released});
         if (m_term && record.is_released)
-            lose("given up");
+            drop_lease("given up");
         if (!is_own || record.is_released)
             return;
         // A write whose answer was lost. Nobody knows when it was done: it gives no time to act, only the next one
         // does.
         auto const token = record.token == 0 ? m_known->version.value() : record.token;
         if (!m_term)
-            begin_term(token, m_clock(), "an answer that was lost");
+            start_term(token, m_clock(), "an answer that was lost");
         m_term->valid_until = m_clock();
     }
 
@@ -463,10 +463,10 @@
     {
         if (!std::exchange(m_store_failing, true))
             m_log.write(Observe::LogEvent("duty-store-lost").add("holds", m_term.has_value()).add("reason", reason));
-        if (m_term && now >= m_term->valid_until && Core::elapsed(m_term->reached_store, now) > s_store_silence)
-            lose("the store is out of reach");
+        if (m_term && now >= m_term->valid_until && Core::elapsed(m_term->reached_store, now) > s_max_store_silence)
+            drop_lease("the store is out of reach");
         if (!m_term)
-            m_next_look = now + m_settings.patience;
+            m_next_check = now + m_settings.holder_timeout;
     }
 
     [[nodiscard]] static std::string_view to_text(ReportOutcome outcome)
@@ -485,7 +485,7 @@
     }
 
     DutySettings m_settings;
-    std::string m_self;
+    std::string m_own_id;
     std::uint64_t m_incarnation;
     Core::Milliseconds m_spread;
     Clock m_clock;
@@ -497,7 +497,7 @@
     Observe::Counter& m_writes;
     Observe::Counter& m_accepted;
     Observe::Counter& m_missed;
-    Core::MonotonicTime m_begun;
+    Core::MonotonicTime m_started;
     bool m_is_watching {false};
     bool m_is_stopped {false};
     std::optional<Known> m_known;
@@ -505,8 +505,8 @@
     /// What the store holds is not known for sure.
     bool m_must_read {false};
     bool m_store_failing {false};
-    Core::Milliseconds m_store_pause {s_shortest_pause};
-    Core::MonotonicTime m_next_look;
+    Core::Milliseconds m_store_backoff {s_min_backoff};
+    Core::MonotonicTime m_next_check;
     Core::MonotonicTime m_next_send;
     std::optional<Core::MonotonicTime> m_failing_since;
     unsigned m_tries {0};
--- a/Libraries/LibSettings/DaemonSettings.cpp
+++ b/Libraries/LibSettings/DaemonSettings.cpp
@@ -141,14 +141,14 @@
     ObjectReader reader(json, "/duties", findings);
     reader.read("address", duties.address, Presence::Required);
     reader.read("usage-window", duties.usage.window, 100ms, 24h);
-    reader.read("usage-late", duties.usage.late, 100ms, 24h);
+    reader.read("usage-late", duties.usage.report_deadline, 100ms, 24h);
     reader.read("lease", duties.lease.lease, 100ms, 10min);
-    reader.read("lease-margin", duties.lease.margin, 10ms, 10min);
+    reader.read("lease-margin", duties.lease.lease_margin, 10ms, 10min);
     reader.read("call-timeout", duties.lease.call_timeout, 10ms, 60s);
-    reader.read("call-pause", duties.lease.call_pause, 1ms, 60s);
-    reader.read("patience", duties.lease.patience, 10ms, 10min);
+    reader.read("call-pause", duties.lease.min_call_interval, 1ms, 60s);
+    reader.read("patience", duties.lease.holder_timeout, 10ms, 10min);
     reader.finish();
-    if (duties.lease.margin >= duties.lease.lease)
+    if (duties.lease.lease_margin >= duties.lease.lease)
         findings.add("/duties/lease-margin", "must be shorter than the lease");
 }
 
