--- a/Libraries/LibCluster/QuarantineKeeper.h
+++ b/Libraries/LibCluster/QuarantineKeeper.h
@@ -80,7 +80,7 @@
     void write(QuarantineChange const& change)
     {
         auto const name = change.digest.to_string();
-        if (change.kind == QuarantineChange::Kind::Dropped) {
+        if (change.kind == QuarantineChange::Kind::Removed) {
             m_store.remove(s_kind, name);
             m_stored.erase(change.digest);
             return;
--- a/Libraries/LibCluster/SharedQuarantine.h
+++ b/Libraries/LibCluster/SharedQuarantine.h
@@ -12,10 +12,10 @@
 /// A change of what is quarantined, for the store.
 struct QuarantineChange {
     enum class Kind {
-        Kept,
-        Dropped,
+        Added,
+        Removed,
     };
-    Kind kind {Kind::Kept};
+    Kind kind {Kind::Added};
     Core::RequestDigest digest;
 };
 
@@ -24,12 +24,12 @@
 class SharedQuarantine {
 public:
     /// Changes that wait for the store; beyond them the oldest are dropped, and hold among the gateways only.
-    static constexpr std::size_t s_most_changes = 4'096;
+    static constexpr std::size_t s_max_changes = 4'096;
 
     void add_change(QuarantineChange const& change)
     {
         std::lock_guard const lock(m_mutex);
-        if (m_changes.size() >= s_most_changes)
+        if (m_changes.size() >= s_max_changes)
             m_changes.erase(m_changes.begin());
         m_changes.push_back(change);
     }
--- a/Libraries/LibGateway/CrashWatch.cpp
+++ b/Libraries/LibGateway/CrashWatch.cpp
@@ -135,7 +135,7 @@
     using Change = Cluster::QuarantineChange;
     bool const is_held = conclusion.kind == Policy::CrashConclusion::Kind::Quarantined;
     if (is_held || conclusion.was_quarantined)
-        m_kept->add_change({is_held ? Change::Kind::Kept : Change::Kind::Dropped, conclusion.digest});
+        m_kept->add_change({is_held ? Change::Kind::Added : Change::Kind::Removed, conclusion.digest});
 }
 
 void CrashWatch::log(Policy::CrashConclusion const& conclusion)
--- a/Tests/LibCluster/QuarantineKeeperTest.cpp
+++ b/Tests/LibCluster/QuarantineKeeperTest.cpp
@@ -73,8 +73,8 @@
 };
 
 Core::RequestDigest const s_deadly = Core::RequestDigest::of("/deadly", "caller", "body");
-QuarantineChange const s_kept {QuarantineChange::Kind::Kept, s_deadly};
-QuarantineChange const s_dropped {QuarantineChange::Kind::Dropped, s_deadly};
+QuarantineChange const s_added {QuarantineChange::Kind::Added, s_deadly};
+QuarantineChange const s_removed {QuarantineChange::Kind::Removed, s_deadly};
 
 }
 
@@ -83,14 +83,14 @@
     FakeStore store;
     {
         Keeper before(store);
-        before.shared.add_change(s_kept);
+        before.shared.add_change(s_added);
         before.keeper.step();
     }
     Keeper after(store);
     after.keeper.step();
     EXPECT_EQ(after.shared.take_loaded(), std::vector {s_deadly});
     // It is not written again by those who have read it.
-    after.shared.add_change(s_kept);
+    after.shared.add_change(s_added);
     auto const calls = store.calls;
     after.keeper.step();
     EXPECT_EQ(store.calls, calls);
@@ -101,7 +101,7 @@
     FakeStore store;
     store.is_away = true;
     Keeper keeper(store);
-    keeper.shared.add_change(s_kept);
+    keeper.shared.add_change(s_added);
     auto const first = keeper.keeper.step();
     auto const second = keeper.keeper.step();
     EXPECT_GT(second, first);
@@ -115,13 +115,13 @@
     FakeStore store;
     store.loses_answers = true;
     Keeper first(store);
-    first.shared.add_change(s_kept);
+    first.shared.add_change(s_added);
     first.keeper.step();
     ASSERT_TRUE(store.has(s_deadly));
     store.loses_answers = false;
     first.keeper.step();
     Keeper second(store);
-    second.shared.add_change(s_kept);
+    second.shared.add_change(s_added);
     second.keeper.step();
     EXPECT_TRUE(store.has(s_deadly));
 }
@@ -130,9 +130,9 @@
 {
     FakeStore store;
     Keeper keeper(store);
-    keeper.shared.add_change(s_kept);
+    keeper.shared.add_change(s_added);
     keeper.keeper.step();
-    keeper.shared.add_change(s_dropped);
+    keeper.shared.add_change(s_removed);
     keeper.keeper.step();
     EXPECT_FALSE(store.has(s_deadly));
     Keeper after(store);
@@ -145,7 +145,7 @@
     FakeStore store;
     Keeper keeper(store);
     keeper.keeper.set_watching(false);
-    keeper.shared.add_change(s_kept);
+    keeper.shared.add_change(s_added);
     keeper.keeper.step();
     EXPECT_EQ(store.calls, 0);
 }
