--- a/Libraries/LibEntry/AttemptMessages.cpp
+++ b/Libraries/LibEntry/AttemptMessages.cpp
@@ -224,7 +224,7 @@
         return;
     case ChunkResult::Gap:
         // Once for each gap and interval: the answer to the question brings everything that is missing.
-        if (now - attempt.last_asked > m_settings.question_interval / 10)
+        if (now - attempt.last_asked > m_settings.resume_interval / 10)
             ask(link, run, now);
         return;
     case ChunkResult::Added:
--- a/Libraries/LibEntry/CallerServer.cpp
+++ b/Libraries/LibEntry/CallerServer.cpp
@@ -40,8 +40,8 @@
     unsigned const flags = MHD_USE_EPOLL_INTERNAL_THREAD | MHD_ALLOW_SUSPEND_RESUME | bind_address.flags();
     m_daemon = MHD_start_daemon(flags, m_settings.address.port(), nullptr, nullptr, handle, this, MHD_OPTION_SOCK_ADDR,
         bind_address.socket_address(), MHD_OPTION_THREAD_POOL_SIZE, m_settings.threads, MHD_OPTION_CONNECTION_LIMIT,
-        m_settings.largest_connection_count, MHD_OPTION_CONNECTION_MEMORY_LIMIT, s_connection_memory_bytes,
-        MHD_OPTION_CONNECTION_TIMEOUT, static_cast<unsigned>(m_settings.idle_limit.count()),
+        m_settings.max_connections, MHD_OPTION_CONNECTION_MEMORY_LIMIT, s_connection_memory_bytes,
+        MHD_OPTION_CONNECTION_TIMEOUT, static_cast<unsigned>(m_settings.idle_timeout.count()),
         MHD_OPTION_URI_LOG_CALLBACK, begin_connection, this, MHD_OPTION_NOTIFY_COMPLETED, end_request, this,
         MHD_OPTION_END);
     if (m_daemon == nullptr)
@@ -104,7 +104,7 @@
     if (connection.exchange)
         return connection.exchange->has_answer() ? connection.exchange->respond() : MHD_YES;
     if (upload_size > 0) {
-        if (connection.body.size() + upload_size > m_settings.largest_body_bytes)
+        if (connection.body.size() + upload_size > m_settings.max_body_bytes)
             connection.is_body_too_large = true;
         else
             connection.body.append(upload, upload_size);
--- a/Libraries/LibEntry/CallerServer.h
+++ b/Libraries/LibEntry/CallerServer.h
@@ -21,10 +21,10 @@
     struct Settings {
         Core::Address address;
         unsigned threads {4};
-        unsigned largest_connection_count {20'000};
-        std::size_t largest_body_bytes {4U << 20U};
+        unsigned max_connections {20'000};
+        std::size_t max_body_bytes {4U << 20U};
         /// A connection on which nothing moves for this long is closed.
-        std::chrono::seconds idle_limit {60};
+        std::chrono::seconds idle_timeout {60};
     };
 
     CallerServer(Settings, Core::Incarnation, Router&, SharedTable const&, Observe::MetricRegistry&);
--- a/Libraries/LibEntry/Dispatching.cpp
+++ b/Libraries/LibEntry/Dispatching.cpp
@@ -54,7 +54,7 @@
 
 bool RequestRuns::try_dispatch(RequestRun& run, Core::MonotonicTime now)
 {
-    while (run.tried_count() < m_settings.largest_tries) {
+    while (run.tried_count() < m_settings.max_tries) {
         auto* link = choose(run);
         if (link == nullptr)
             return false;
@@ -84,7 +84,7 @@
         return fail(run, std::move(otherwise));
     decide(run, Core::concat("waits at the entry: ", otherwise.message));
     m_held.emplace(held_place(run), std::move(otherwise));
-    if (m_held.size() <= m_settings.largest_held_count)
+    if (m_held.size() <= m_settings.max_held_requests)
         return;
     // The last place belongs to the lowest tier, and there to the latest.
     auto last = std::prev(m_held.end());
--- a/Libraries/LibEntry/RequestRuns.cpp
+++ b/Libraries/LibEntry/RequestRuns.cpp
@@ -32,9 +32,9 @@
     , m_decisions(decisions)
     , m_spans(spans)
 {
-    if (settings.chooser == ChooserName::RoundRobin)
+    if (settings.chooser == ChooserStrategy::RoundRobin)
         m_chooser = make_chooser<Policy::RoundRobinChooser>(settings);
-    else if (settings.chooser == ChooserName::LeastOutstanding)
+    else if (settings.chooser == ChooserStrategy::LeastOutstanding)
         m_chooser = make_chooser<Policy::LeastOutstandingChooser>(settings);
 }
 
@@ -108,7 +108,7 @@
         return;
     bool const has_begun = attempt->state == AttemptView::State::Started;
     bool const is_out_of_time
-        = Core::elapsed(run.call().received, now) > run.call().request_class.give_up_after + m_settings.give_up_grace;
+        = Core::elapsed(run.call().received, now) > run.call().request_class.give_up_after + m_settings.timeout_grace;
     if (!has_begun && is_out_of_time)
         return give_up(run, now);
     if (!link->is_up()) {
@@ -121,8 +121,8 @@
     }
     if (attempt->acknowledged < attempt->chunks && run.can_caller_take_more())
         acknowledge(*link, run, false);
-    bool const is_quiet = Core::elapsed(attempt->last_heard, now) > m_settings.question_interval
-        && Core::elapsed(attempt->last_asked, now) > m_settings.question_interval;
+    bool const is_quiet = Core::elapsed(attempt->last_heard, now) > m_settings.resume_interval
+        && Core::elapsed(attempt->last_asked, now) > m_settings.resume_interval;
     if (is_quiet)
         ask(*link, run, now);
 }
--- a/Libraries/LibEntry/RequestRuns.h
+++ b/Libraries/LibEntry/RequestRuns.h
@@ -21,7 +21,7 @@
 namespace GraniteField::Entry {
 
 /// The ways to choose a backend server that a setting can name.
-enum class ChooserName {
+enum class ChooserStrategy {
     PredictedWait,
     RoundRobin,
     LeastOutstanding,
@@ -32,20 +32,20 @@
 class RequestRuns {
 public:
     struct Settings {
-        ChooserName chooser {ChooserName::PredictedWait};
+        ChooserStrategy chooser {ChooserStrategy::PredictedWait};
         /// What a missed prefix costs for each kilobyte of the prompt; bounds how far a warm cache may outweigh a
         /// shorter wait.
         Core::Milliseconds missed_prefix_cost_per_kilobyte {5};
         /// Side processes that a request is offered to before it is refused.
-        std::size_t largest_tries {3};
+        std::size_t max_tries {3};
         /// How long a request waits here while no backend server of its service can be reached.
         Core::Milliseconds hold_limit {2'000};
         /// Requests that wait here at once.
-        std::size_t largest_held_count {1'000};
+        std::size_t max_held_requests {1'000};
         /// An attempt of which nothing is heard for this long is asked about.
-        Core::Milliseconds question_interval {500};
+        Core::Milliseconds resume_interval {500};
         /// How much longer than the request's own limit the entry waits for the side process's word.
-        Core::Milliseconds give_up_grace {250};
+        Core::Milliseconds timeout_grace {250};
         /// A begun answer whose side process is silent for this long is cut.
         Core::Milliseconds stall_limit {10'000};
     };
--- a/Libraries/LibEntry/Router.cpp
+++ b/Libraries/LibEntry/Router.cpp
@@ -24,7 +24,7 @@
     : m_shared_table(table)
     , m_shared_drains(drains)
     , m_membership(membership)
-    , m_least_entry_count(settings.least_entry_count)
+    , m_min_entry_count(settings.min_entry_count)
     , m_metrics(metrics)
     , m_links(context, settings.links)
     , m_runs(settings.runs, m_links, metrics, decisions, spans)
@@ -159,7 +159,7 @@
     m_last_tick = time;
     for (auto const& [name, link] : m_links.all())
         apply(*link, link->tick(time));
-    m_runs.set_entry_count(std::max(m_least_entry_count, m_membership.other_entries + 1));
+    m_runs.set_entry_count(std::max(m_min_entry_count, m_membership.other_entries + 1));
     m_runs.tick(time);
     // A row that moved gets its new link once the old one is closed.
     if (m_links.close_removed())
--- a/Libraries/LibEntry/Router.h
+++ b/Libraries/LibEntry/Router.h
@@ -30,7 +30,7 @@
         RequestRuns::Settings runs;
         std::size_t ring_capacity {8192};
         /// Entries that share the workspaces' rates, also while fewer are known.
-        std::size_t least_entry_count {1};
+        std::size_t min_entry_count {1};
     };
 
     Router(Settings, zmq::context_t&, SharedTable const&, SharedDrains const&, SharedMembership const&,
@@ -71,7 +71,7 @@
     SharedTable const& m_shared_table;
     SharedDrains const& m_shared_drains;
     SharedMembership const& m_membership;
-    std::size_t m_least_entry_count;
+    std::size_t m_min_entry_count;
     Observe::MetricRegistry& m_metrics;
     LinkSet m_links;
     RequestRuns m_runs;
--- a/Libraries/LibEntry/SideLink.cpp
+++ b/Libraries/LibEntry/SideLink.cpp
@@ -48,7 +48,7 @@
     m_socket.set(zmq::sockopt::reconnect_ivl, s_reconnect_milliseconds);
     m_socket.set(zmq::sockopt::reconnect_ivl_max, s_longest_reconnect_milliseconds);
     m_socket.set(zmq::sockopt::ipv6, m_backend_server.side_address.starts_with('['));
-    m_socket.set(zmq::sockopt::routing_id, Core::to_hex(m_settings.own.value()));
+    m_socket.set(zmq::sockopt::routing_id, Core::to_hex(m_settings.own_incarnation.value()));
     m_socket.connect("tcp://" + m_backend_server.side_address);
     m_view.name = m_backend_server.name;
 }
@@ -97,7 +97,7 @@
 void SideLink::greet()
 {
     auto envelope = Protocol::make_envelope();
-    envelope.mutable_hello()->set_entry_incarnation(m_settings.own.value());
+    envelope.mutable_hello()->set_entry_incarnation(m_settings.own_incarnation.value());
     envelope.mutable_hello()->set_entry_name(m_settings.entry_name);
     send(envelope);
 }
@@ -105,7 +105,7 @@
 void SideLink::ping()
 {
     auto envelope = Protocol::make_envelope();
-    envelope.mutable_ping()->set_entry_incarnation(m_settings.own.value());
+    envelope.mutable_ping()->set_entry_incarnation(m_settings.own_incarnation.value());
     envelope.mutable_ping()->set_challenge(m_challenge);
     send(envelope);
 }
@@ -120,7 +120,7 @@
         return Change::None;
     if (m_has_question && !m_question_since)
         m_question_since = now;
-    if (m_question_since && Core::elapsed(*m_question_since, now) >= m_settings.patience) {
+    if (m_question_since && Core::elapsed(*m_question_since, now) >= m_settings.silence_timeout) {
         m_is_up = false;
         m_is_greeted = false;
         LOG(WARNING) << s_log_prefix << m_backend_server.name << " is silent; it gets no new work";
--- a/Libraries/LibEntry/SideLink.h
+++ b/Libraries/LibEntry/SideLink.h
@@ -17,12 +17,12 @@
 class SideLink {
 public:
     struct Settings {
-        Core::Incarnation own;
+        Core::Incarnation own_incarnation;
         std::string entry_name;
         /// A ping goes out when nothing was said or heard for this long.
         Core::Milliseconds heartbeat {1'000};
         /// A side process that leaves anything unanswered for this long gets no new work.
-        Core::Milliseconds patience {3'000};
+        Core::Milliseconds silence_timeout {3'000};
     };
 
     /// What a message or the clock did to the link.
--- a/Libraries/LibSettings/DaemonSettings.cpp
+++ b/Libraries/LibSettings/DaemonSettings.cpp
@@ -39,11 +39,11 @@
     ObjectReader reader(json, "/callers", findings);
     reader.read("address", callers.address, Presence::Required);
     reader.read_number("threads", callers.threads, 1, 64);
-    reader.read_number("largest-connection-count", callers.largest_connection_count, 1, s_largest_count);
-    reader.read_number("largest-body-bytes", callers.largest_body_bytes, 1, 16U << 20U);
-    Core::Milliseconds idle_limit = callers.idle_limit;
-    reader.read("idle-limit", idle_limit, 1s, 1h);
-    callers.idle_limit = std::chrono::duration_cast<std::chrono::seconds>(idle_limit);
+    reader.read_number("largest-connection-count", callers.max_connections, 1, s_largest_count);
+    reader.read_number("largest-body-bytes", callers.max_body_bytes, 1, 16U << 20U);
+    Core::Milliseconds idle_timeout = callers.idle_timeout;
+    reader.read("idle-limit", idle_timeout, 1s, 1h);
+    callers.idle_timeout = std::chrono::duration_cast<std::chrono::seconds>(idle_timeout);
     reader.finish();
 }
 
@@ -52,18 +52,18 @@
     ObjectReader reader(json, "/routing", findings);
     auto& runs = entry.router.runs;
     auto& links = entry.router.links;
-    reader.read_choice<Entry::ChooserName>("chooser", runs.chooser,
-        {{"predicted-wait", Entry::ChooserName::PredictedWait}, {"round-robin", Entry::ChooserName::RoundRobin},
-            {"least-outstanding", Entry::ChooserName::LeastOutstanding}});
+    reader.read_choice<Entry::ChooserStrategy>("chooser", runs.chooser,
+        {{"predicted-wait", Entry::ChooserStrategy::PredictedWait}, {"round-robin", Entry::ChooserStrategy::RoundRobin},
+            {"least-outstanding", Entry::ChooserStrategy::LeastOutstanding}});
     reader.read("missed-prefix-cost-per-kilobyte", runs.missed_prefix_cost_per_kilobyte, 0ms, 10s);
-    reader.read_number("largest-tries", runs.largest_tries, 1, 16);
-    reader.read("question-interval", runs.question_interval, 20ms, 60s);
+    reader.read_number("largest-tries", runs.max_tries, 1, 16);
+    reader.read("question-interval", runs.resume_interval, 20ms, 60s);
     reader.read("hold-limit", runs.hold_limit, 0ms, 60s);
     reader.read("stall-limit", runs.stall_limit, 100ms, 10min);
     reader.read("heartbeat", links.link.heartbeat, 20ms, 60s);
-    reader.read("link-patience", links.link.patience, 100ms, 10min);
+    reader.read("link-patience", links.link.silence_timeout, 100ms, 10min);
     reader.read_number("links-per-service", links.links_per_service, 1, 10'000);
-    reader.read_number("least-entry-count", entry.router.least_entry_count, 1, 100'000);
+    reader.read_number("least-entry-count", entry.router.min_entry_count, 1, 100'000);
     reader.finish();
 }
 
--- a/Services/GraniteFieldD/EntryDaemon.cpp
+++ b/Services/GraniteFieldD/EntryDaemon.cpp
@@ -51,7 +51,7 @@
     Entry::SharedServers servers;
     Entry::SharedMembership membership;
     auto router_settings = settings.entry.router;
-    router_settings.links.link.own = incarnation;
+    router_settings.links.link.own_incarnation = incarnation;
     Entry::Router router(router_settings, context, table, drains, membership, metrics, decisions, spans.get());
     Entry::PeerExchange peers(
         settings.entry.peers, context, table, drains, servers, membership, {[&router] { router.wake(); }}, metrics);
