--- a/Libraries/LibEntry/AttemptMessages.cpp
+++ b/Libraries/LibEntry/AttemptMessages.cpp
@@ -18,11 +18,11 @@
 constexpr std::uint32_t s_chunks_per_acknowledgement = 32;
 
 /// Told to callers where the side process names no time.
-constexpr Core::Milliseconds s_least_retry_after {100};
+constexpr Core::Milliseconds s_min_retry_after {100};
 
-ErrorAnswer describe(Protocol::Message::Refused const& refused)
+ErrorAnswer error_for(Protocol::Message::Refused const& refused)
 {
-    auto const retry_after = std::max(Core::Milliseconds(refused.retry_after_ms()), s_least_retry_after);
+    auto const retry_after = std::max(Core::Milliseconds(refused.retry_after_ms()), s_min_retry_after);
     switch (refused.reason()) {
     case RefusalReason::REFUSAL_REASON_QUEUE_FULL:
         return {503, "queue_full", "the backend server's queue is full", Outcome::NotRun, retry_after};
@@ -56,7 +56,7 @@
 }
 
 /// Reasons that a side process gives only after it has found the ticket unused.
-bool says_ticket_unused(RefusalReason reason)
+bool proves_ticket_unused(RefusalReason reason)
 {
     switch (reason) {
     case RefusalReason::REFUSAL_REASON_QUEUE_FULL:
@@ -74,13 +74,13 @@
 }
 
 /// Reasons that lie in the way to a backend server, not in its load.
-bool is_about_reach(RefusalReason reason)
+bool is_reachability_refusal(RefusalReason reason)
 {
     return reason == RefusalReason::REFUSAL_REASON_OTHER_INCARNATION || reason == RefusalReason::REFUSAL_REASON_REVOKED
         || reason == RefusalReason::REFUSAL_REASON_DRAINING;
 }
 
-bool is_about_ticket(RefusalReason reason)
+bool is_ticket_refusal(RefusalReason reason)
 {
     return reason == RefusalReason::REFUSAL_REASON_TICKET_RUNNING || reason == RefusalReason::REFUSAL_REASON_TICKET_USED
         || reason == RefusalReason::REFUSAL_REASON_TICKET_EXPIRED;
@@ -180,7 +180,7 @@
     if (attempt.state == AttemptView::State::Started)
         return;
     attempt.state = AttemptView::State::Started;
-    decide(
+    record_decision(
         run, Core::concat("started at ", attempt.backend_server, " after ", started.queued_ms(), " ms in its queue"));
 }
 
@@ -188,26 +188,26 @@
     SideLink& link, RequestRun& run, Protocol::Message::Refused const& refused, Core::MonotonicTime now)
 {
     auto const reason = refused.reason();
-    auto error = describe(refused);
-    decide(run, Core::concat(run.attempt()->backend_server, " refused: ", error.message));
+    auto error = error_for(refused);
+    record_decision(run, Core::concat(run.attempt()->backend_server, " refused: ", error.message));
     if (!run.call().ticket.empty()) {
         bool const was_reserved
             = run.attempt()->state != AttemptView::State::Sent && reason == RefusalReason::REFUSAL_REASON_REVOKED;
-        if (says_ticket_unused(reason) || was_reserved)
+        if (proves_ticket_unused(reason) || was_reserved)
             run.note_ticket_unused();
-        if (is_about_ticket(reason) || reason == RefusalReason::REFUSAL_REASON_OTHER_INCARNATION)
+        if (is_ticket_refusal(reason) || reason == RefusalReason::REFUSAL_REASON_OTHER_INCARNATION)
             return fail(run, std::move(error));
     }
     if (reason == RefusalReason::REFUSAL_REASON_OTHER_INCARNATION)
         link.note_other_incarnation();
-    if (is_about_reach(reason))
+    if (is_reachability_refusal(reason))
         return retry_unreached(run, std::move(error), now);
     retry_unstarted(run, std::move(error), now);
 }
 
 void RequestRuns::handle_unknown(SideLink&, RequestRun& run, Core::MonotonicTime now)
 {
-    decide(run, Core::concat(run.attempt()->backend_server, " never got the dispatch"));
+    record_decision(run, Core::concat(run.attempt()->backend_server, " never got the dispatch"));
     retry_unreached(run,
         {503, "not_taken", "the backend server's side process did not get the request", Outcome::NotRun,
             Core::Milliseconds(200)},
@@ -224,8 +224,8 @@
         return;
     case ChunkResult::Gap:
         // Once for each gap and interval: the answer to the question brings everything that is missing.
-        if (now - attempt.last_asked > m_settings.resume_interval / 10)
-            ask(link, run, now);
+        if (now - attempt.last_resume > m_settings.resume_interval / 10)
+            send_resume(link, run, now);
         return;
     case ChunkResult::Added:
         break;
@@ -235,7 +235,7 @@
     if (auto const gap = run.take_token_gap())
         metrics_of(run).token_gap.add(*gap);
     bool const is_due = attempt.chunks - attempt.acknowledged >= s_chunks_per_acknowledgement;
-    if (is_due && run.can_caller_take_more())
+    if (is_due && run.can_caller_receive_more())
         acknowledge(link, run, false);
 }
 
@@ -244,7 +244,7 @@
 {
     auto const& attempt = *run.attempt();
     if (finished.chunks() > attempt.chunks)
-        return ask(link, run, now);
+        return send_resume(link, run, now);
     acknowledge(link, run, true);
     if (!run.is_whole(finished)) {
         m_metrics.counter("granitefield_entry_integrity_failures_total").add();
@@ -262,7 +262,7 @@
     SideLink& link, RequestRun& run, Protocol::Message::Failed const& failed, Core::MonotonicTime now)
 {
     acknowledge(link, run, true);
-    decide(run, Core::concat(run.attempt()->backend_server, " failed: ", failed.message()));
+    record_decision(run, Core::concat(run.attempt()->backend_server, " failed: ", failed.message()));
     retry_lost(run,
         {502, "engine_failed", Core::concat("the backend server failed: ", failed.message()), Outcome::Unknown,
             Core::Milliseconds(1000)},
--- a/Libraries/LibEntry/AttemptQuestions.cpp
+++ b/Libraries/LibEntry/AttemptQuestions.cpp
@@ -10,7 +10,7 @@
 constexpr Core::Milliseconds s_no_backend_retry_after {1'000};
 /// Revocations kept for a link that is down. What is beyond is stopped by the side process itself, when it
 /// finds its entry silent or the request's time over.
-constexpr std::size_t s_largest_waiting_revocations = 10'000;
+constexpr std::size_t s_max_pending_revocations = 10'000;
 
 }
 
@@ -38,7 +38,7 @@
 
 void RequestRuns::handle_replaced(SideLink& link, Core::MonotonicTime now)
 {
-    m_waiting_revocations.erase(link.backend_server().name);
+    m_pending_revocations.erase(link.backend_server().name);
     for (auto const& id : runs_at(link)) {
         auto& run = m_runs.at(id);
         retry_lost(run,
@@ -63,21 +63,21 @@
     }
 }
 
-void RequestRuns::handle_came_back(SideLink& link, Core::MonotonicTime now)
+void RequestRuns::handle_reconnected(SideLink& link, Core::MonotonicTime now)
 {
-    send_waiting_revocations(link);
+    send_pending_revocations(link);
     for (auto const& id : runs_at(link))
-        ask(link, m_runs.at(id), now);
+        send_resume(link, m_runs.at(id), now);
 }
 
-void RequestRuns::send_waiting_revocations(SideLink& link)
+void RequestRuns::send_pending_revocations(SideLink& link)
 {
-    auto const found = m_waiting_revocations.find(link.backend_server().name);
-    if (found == m_waiting_revocations.end())
+    auto const found = m_pending_revocations.find(link.backend_server().name);
+    if (found == m_pending_revocations.end())
         return;
     for (auto const& envelope : found->second)
         link.send(envelope);
-    m_waiting_revocations.erase(found);
+    m_pending_revocations.erase(found);
 }
 
 void RequestRuns::revoke(SideLink& link, RequestRun& run)
@@ -92,15 +92,15 @@
     message.set_should_cancel_running(run.call().is_repeatable);
     if (link.send(envelope))
         return;
-    auto& waiting = m_waiting_revocations[link.backend_server().name];
-    if (waiting.size() < s_largest_waiting_revocations)
+    auto& waiting = m_pending_revocations[link.backend_server().name];
+    if (waiting.size() < s_max_pending_revocations)
         waiting.push_back(std::move(envelope));
 }
 
-void RequestRuns::ask(SideLink& link, RequestRun& run, Core::MonotonicTime now)
+void RequestRuns::send_resume(SideLink& link, RequestRun& run, Core::MonotonicTime now)
 {
     auto& attempt = *run.attempt();
-    attempt.last_asked = now;
+    attempt.last_resume = now;
     auto envelope = Protocol::make_envelope();
     auto& resume = *envelope.mutable_resume();
     Protocol::set_key(resume, run.key());
--- a/Libraries/LibEntry/CallInterpreter.cpp
+++ b/Libraries/LibEntry/CallInterpreter.cpp
@@ -20,7 +20,7 @@
 /// So much of the first message stands for the prompt's prefix.
 constexpr std::size_t s_prefix_bytes = 2048;
 /// Objects and arrays in a body may be nested this deep; deeper ones only serve to exhaust a stack.
-constexpr int s_deepest_nesting = 64;
+constexpr int s_max_nesting = 64;
 
 ErrorAnswer bad_request(std::string code, std::string message, int status = 400)
 {
@@ -93,7 +93,7 @@
 std::variant<Json, ErrorAnswer> parse_object(std::string const& body)
 {
     auto const check_depth = [](int depth, Json::parse_event_t, Json&) {
-        if (depth > s_deepest_nesting)
+        if (depth > s_max_nesting)
             throw std::length_error("the body is nested too deep");
         return true;
     };
--- a/Libraries/LibEntry/CallerExchange.cpp
+++ b/Libraries/LibEntry/CallerExchange.cpp
@@ -98,7 +98,7 @@
 std::size_t CallerExchange::pending_bytes() const
 {
     std::lock_guard const lock(m_mutex);
-    return m_pending.size() - m_taken;
+    return m_pending.size() - m_consumed;
 }
 
 bool CallerExchange::is_caller_gone() const
@@ -167,14 +167,14 @@
 ssize_t CallerExchange::read(char* buffer, std::size_t size)
 {
     std::lock_guard const lock(m_mutex);
-    auto const available = m_pending.size() - m_taken;
+    auto const available = m_pending.size() - m_consumed;
     if (available > 0) {
         auto const count = std::min(available, size);
-        std::memcpy(buffer, m_pending.data() + m_taken, count);
-        m_taken += count;
-        if (m_taken == m_pending.size() || m_taken > s_compaction_bytes) {
-            m_pending.erase(0, m_taken);
-            m_taken = 0;
+        std::memcpy(buffer, m_pending.data() + m_consumed, count);
+        m_consumed += count;
+        if (m_consumed == m_pending.size() || m_consumed > s_compaction_bytes) {
+            m_pending.erase(0, m_consumed);
+            m_consumed = 0;
         }
         return static_cast<ssize_t>(count);
     }
--- a/Libraries/LibEntry/CallerExchange.h
+++ b/Libraries/LibEntry/CallerExchange.h
@@ -94,7 +94,7 @@
     Progress m_progress {Progress::Waiting};
     FullAnswer m_answer;
     std::string m_pending;
-    std::size_t m_taken {0};
+    std::size_t m_consumed {0};
     MHD_Response* m_stream_response {nullptr};
 };
 
--- a/Libraries/LibEntry/Dispatching.cpp
+++ b/Libraries/LibEntry/Dispatching.cpp
@@ -16,7 +16,7 @@
 
 }
 
-void RequestRuns::give_ticket(Call const& call, CallerExchange& exchange)
+void RequestRuns::issue_ticket(Call const& call, CallerExchange& exchange)
 {
     auto const links = m_links.available(call.service);
     if (links.empty()) {
@@ -70,7 +70,7 @@
         fail(run, std::move(otherwise));
 }
 
-RequestRuns::HeldPlace RequestRuns::held_place(RequestRun const& run)
+RequestRuns::HeldKey RequestRuns::held_key(RequestRun const& run)
 {
     return {run.call().request_class.tier, run.call().received, run.call().id};
 }
@@ -82,8 +82,8 @@
     auto const limit = std::min(m_settings.hold_limit, run.call().request_class.give_up_after);
     if (!m_links.has_service(run.call().service) || Core::elapsed(run.call().received, now) >= limit)
         return fail(run, std::move(otherwise));
-    decide(run, Core::concat("waits at the entry: ", otherwise.message));
-    m_held.emplace(held_place(run), std::move(otherwise));
+    record_decision(run, Core::concat("waits at the entry: ", otherwise.message));
+    m_held.emplace(held_key(run), std::move(otherwise));
     if (m_held.size() <= m_settings.max_held_requests)
         return;
     // The last place belongs to the lowest tier, and there to the latest.
@@ -96,7 +96,7 @@
 
 void RequestRuns::dispatch_held(Core::MonotonicTime now)
 {
-    std::vector<HeldPlace> places;
+    std::vector<HeldKey> places;
     places.reserve(m_held.size());
     for (auto const& [place, error] : m_held)
         places.push_back(place);
@@ -172,14 +172,14 @@
     }
     link.note_sent(call.request_class.tier);
     link.note_open(1);
-    decide(run,
+    record_decision(run,
         Core::concat("sent attempt ", attempt.number.value(), " to ", attempt.backend_server, ": expected wait ",
             Policy::predicted_wait(link.view(), call.request_class.tier).count() / 1000, " ms, ", link.view().running,
             " of ", link.view().slots, " slots taken"));
     return true;
 }
 
-void RequestRuns::leave_attempt(RequestRun& run)
+void RequestRuns::close_attempt(RequestRun& run)
 {
     auto* attempt = run.attempt();
     if (attempt == nullptr)
@@ -195,7 +195,7 @@
 void RequestRuns::retry_unstarted(RequestRun& run, ErrorAnswer error, Core::MonotonicTime now)
 {
     run.note_refusal(error.retry_after);
-    leave_attempt(run);
+    close_attempt(run);
     bool const has_time = Core::elapsed(run.call().received, now) < run.call().request_class.give_up_after;
     // A ticket runs at its own side process or nowhere.
     if (!has_time || !run.call().ticket.empty())
@@ -205,7 +205,7 @@
 
 void RequestRuns::retry_unreached(RequestRun& run, ErrorAnswer error, Core::MonotonicTime now)
 {
-    leave_attempt(run);
+    close_attempt(run);
     if (!run.call().ticket.empty())
         return fail(run, std::move(error));
     dispatch_or_hold(run, std::move(error), now);
@@ -216,13 +216,13 @@
     run.note_may_have_run();
     if (run.has_forwarded())
         return cut(run, error.code, error.message);
-    leave_attempt(run);
+    close_attempt(run);
     error.outcome = Outcome::Unknown;
     bool const has_time = Core::elapsed(run.call().received, now) < run.call().request_class.give_up_after;
     if (!run.call().is_repeatable || !has_time || !m_retry_budget.try_spend())
         return fail(run, std::move(error));
     m_metrics.counter("granitefield_entry_retries_total").add();
-    decide(run, Core::concat("tries again: ", error.message));
+    record_decision(run, Core::concat("tries again: ", error.message));
     dispatch_or_hold(run, std::move(error), now);
 }
 
--- a/Libraries/LibEntry/HostFollower.cpp
+++ b/Libraries/LibEntry/HostFollower.cpp
@@ -10,11 +10,11 @@
 namespace GraniteField::Entry {
 
 HostFollower::HostFollower(PlatformSettings const& settings, SharedDrains& drains, PeerExchange& peers,
-    std::function<void()> on_news, Observe::MetricRegistry& metrics)
+    std::function<void()> on_update, Observe::MetricRegistry& metrics)
     : m_interval(settings.host_interval)
     , m_drains(drains)
     , m_peers(peers)
-    , m_on_news(std::move(on_news))
+    , m_on_update(std::move(on_update))
     , m_metrics(metrics)
     , m_client(settings.address, settings.call_timeout)
     , m_backoff(settings.shortest_pause, settings.longest_pause)
@@ -72,7 +72,7 @@
     if (drains.hosts == m_drains.current().hosts)
         return;
     if (m_drains.offer(std::move(drains)))
-        m_on_news();
+        m_on_update();
 }
 
 }
--- a/Libraries/LibEntry/HostFollower.h
+++ b/Libraries/LibEntry/HostFollower.h
@@ -16,9 +16,9 @@
 /// heard before it.
 class HostFollower {
 public:
-    /// `on_news` is called on this thread when there is a newer list.
-    HostFollower(
-        PlatformSettings const&, SharedDrains&, PeerExchange&, std::function<void()> on_news, Observe::MetricRegistry&);
+    /// `on_update` is called on this thread when there is a newer list.
+    HostFollower(PlatformSettings const&, SharedDrains&, PeerExchange&, std::function<void()> on_update,
+        Observe::MetricRegistry&);
     ~HostFollower();
     HostFollower(HostFollower const&) = delete;
     HostFollower& operator=(HostFollower const&) = delete;
@@ -30,7 +30,7 @@
     Core::Milliseconds m_interval;
     SharedDrains& m_drains;
     PeerExchange& m_peers;
-    std::function<void()> m_on_news;
+    std::function<void()> m_on_update;
     Observe::MetricRegistry& m_metrics;
     Platform::ObjectClient m_client;
     Core::Backoff m_backoff;
--- a/Libraries/LibEntry/RequestRun.cpp
+++ b/Libraries/LibEntry/RequestRun.cpp
@@ -13,7 +13,7 @@
 constexpr int s_status_ok = 200;
 /// An answer that is no event stream is kept until it is whole, up to this size; a larger one is handed on
 /// as it comes.
-constexpr std::size_t s_largest_buffered_answer = 1U << 20U;
+constexpr std::size_t s_max_buffered_answer_bytes = 1U << 20U;
 
 }
 
@@ -25,7 +25,7 @@
     attempt.backend_server = std::move(backend_server);
     attempt.sent = now;
     attempt.last_heard = now;
-    attempt.last_asked = now;
+    attempt.last_resume = now;
     attempt.hash = std::make_unique<Core::StreamHash>();
     m_buffered.clear();
     m_gate = {};
@@ -68,11 +68,11 @@
         if (!m_first_token)
             m_first_token = now;
     }
-    hand_on(chunk.payload());
+    forward(chunk.payload());
     return ChunkResult::Added;
 }
 
-void RequestRun::hand_on(std::string const& payload)
+void RequestRun::forward(std::string const& payload)
 {
     if (m_is_event_stream) {
         auto const passed = m_gate.add(payload);
@@ -89,7 +89,7 @@
         return;
     }
     m_buffered += payload;
-    if (m_buffered.size() <= s_largest_buffered_answer)
+    if (m_buffered.size() <= s_max_buffered_answer_bytes)
         return;
     m_exchange->begin_stream(m_attempt->status, m_attempt->content_type);
     m_has_forwarded = true;
--- a/Libraries/LibEntry/RequestRun.h
+++ b/Libraries/LibEntry/RequestRun.h
@@ -32,7 +32,7 @@
     Core::MonotonicTime sent;
     /// Last message about this attempt, and the last time that the entry asked for one.
     Core::MonotonicTime last_heard;
-    Core::MonotonicTime last_asked;
+    Core::MonotonicTime last_resume;
     /// The load report of the side process includes it.
     bool is_in_load_report {false};
     bool is_revoked {false};
@@ -70,7 +70,7 @@
     [[nodiscard]] CallerExchange& exchange() { return *m_exchange; }
 
     /// Whether the caller keeps up, so that the side process may be told to go on.
-    [[nodiscard]] bool can_caller_take_more() const { return m_exchange->pending_bytes() < s_caller_window_bytes; }
+    [[nodiscard]] bool can_caller_receive_more() const { return m_exchange->pending_bytes() < s_caller_window_bytes; }
 
     [[nodiscard]] AttemptView* attempt() { return m_attempt ? &*m_attempt : nullptr; }
     AttemptView& begin_attempt(std::string backend_server, Core::MonotonicTime now);
@@ -118,7 +118,7 @@
     /// Bytes that a caller has not taken yet, above which it is behind.
     static constexpr std::size_t s_caller_window_bytes = 256U << 10U;
 
-    void hand_on(std::string const& payload);
+    void forward(std::string const& payload);
 
     Call m_call;
     std::shared_ptr<CallerExchange> m_exchange;
--- a/Libraries/LibEntry/RequestRuns.cpp
+++ b/Libraries/LibEntry/RequestRuns.cpp
@@ -44,7 +44,7 @@
     return m_class_metrics.try_emplace(name, m_metrics, name).first->second;
 }
 
-void RequestRuns::decide(RequestRun const& run, std::string what)
+void RequestRuns::record_decision(RequestRun const& run, std::string what)
 {
     m_decisions.record(run.call().id, std::move(what));
 }
@@ -52,12 +52,12 @@
 void RequestRuns::begin(Call call, std::shared_ptr<CallerExchange> exchange, Core::MonotonicTime now)
 {
     if (call.kind == CallKind::Ticket)
-        return give_ticket(call, *exchange);
+        return issue_ticket(call, *exchange);
     auto const id = call.id;
     auto& run = m_runs.try_emplace(id, std::move(call), std::move(exchange)).first->second;
     metrics_of(run).calls.add();
     if (auto const excess = m_limits.enter(run.call().workspace, now)) {
-        decide(
+        record_decision(
             run, Core::concat("refused: workspace ", run.call().workspace.name, " is over its limit ", excess->limit));
         ErrorAnswer const error {429, "limit_" + excess->limit,
             Core::concat("the workspace is over its limit ", excess->limit), Outcome::NotRun, excess->retry_after};
@@ -98,7 +98,7 @@
     auto* attempt = run.attempt();
     auto* link = attempt == nullptr ? nullptr : m_links.find(attempt->backend_server);
     if (run.exchange().is_caller_gone()) {
-        decide(run, "the caller is gone");
+        record_decision(run, "the caller is gone");
         if (link != nullptr)
             revoke(*link, run);
         metrics_of(run).callers_gone.add();
@@ -110,7 +110,7 @@
     bool const is_out_of_time
         = Core::elapsed(run.call().received, now) > run.call().request_class.give_up_after + m_settings.timeout_grace;
     if (!has_begun && is_out_of_time)
-        return give_up(run, now);
+        return time_out(run, now);
     if (!link->is_up()) {
         if (Core::elapsed(attempt->last_heard, now) > m_settings.stall_limit)
             retry_lost(run,
@@ -119,15 +119,15 @@
                 now);
         return;
     }
-    if (attempt->acknowledged < attempt->chunks && run.can_caller_take_more())
+    if (attempt->acknowledged < attempt->chunks && run.can_caller_receive_more())
         acknowledge(*link, run, false);
     bool const is_quiet = Core::elapsed(attempt->last_heard, now) > m_settings.resume_interval
-        && Core::elapsed(attempt->last_asked, now) > m_settings.resume_interval;
+        && Core::elapsed(attempt->last_resume, now) > m_settings.resume_interval;
     if (is_quiet)
-        ask(*link, run, now);
+        send_resume(*link, run, now);
 }
 
-void RequestRuns::give_up(RequestRun& run, Core::MonotonicTime)
+void RequestRuns::time_out(RequestRun& run, Core::MonotonicTime)
 {
     auto* link = m_links.find(run.attempt()->backend_server);
     if (link != nullptr)
@@ -158,7 +158,7 @@
 void RequestRuns::finish(RequestRun& run, Outcome outcome)
 {
     record_attainment(run, outcome);
-    decide(run, Core::concat("ended as ", to_string(outcome)));
+    record_decision(run, Core::concat("ended as ", to_string(outcome)));
     if (m_spans != nullptr && run.call().trace.is_sampled) {
         auto const wall_now = std::chrono::system_clock::now();
         auto const age = Core::monotonic_now() - run.call().received;
@@ -169,8 +169,8 @@
             outcome != Outcome::Done});
     }
     m_limits.leave(run.call().workspace);
-    leave_attempt(run);
-    m_held.erase(held_place(run));
+    close_attempt(run);
+    m_held.erase(held_key(run));
     m_runs.erase(run.call().id);
 }
 
@@ -181,7 +181,7 @@
         error.outcome = Outcome::Unknown;
     if (error.retry_after.count() > 0)
         error.retry_after = std::min(error.retry_after, run.smallest_retry_after().value_or(error.retry_after));
-    decide(run, Core::concat("refused: ", error.code, ", ", error.message));
+    record_decision(run, Core::concat("refused: ", error.code, ", ", error.message));
     run.fail(error);
     finish(run, error.outcome);
 }
--- a/Libraries/LibEntry/RequestRuns.h
+++ b/Libraries/LibEntry/RequestRuns.h
@@ -61,7 +61,7 @@
     /// The link's side process went silent.
     void handle_lost(SideLink&, Core::MonotonicTime now);
     /// The link's side process is there again and remembers.
-    void handle_came_back(SideLink&, Core::MonotonicTime now);
+    void handle_reconnected(SideLink&, Core::MonotonicTime now);
     /// Limits in time, questions, and callers who are gone.
     void tick(Core::MonotonicTime now);
     /// Gives every request its final answer; for the process's end.
@@ -76,7 +76,7 @@
 private:
     using Runs = absl::node_hash_map<Core::RequestId, RequestRun>;
 
-    void give_ticket(Call const&, CallerExchange&);
+    void issue_ticket(Call const&, CallerExchange&);
     /// Offers the request to the best backend server that has not refused it; `otherwise` is the final
     /// answer when there is none.
     void dispatch(RequestRun&, ErrorAnswer otherwise, Core::MonotonicTime now);
@@ -88,7 +88,7 @@
     void dispatch_ticket(RequestRun&, Core::MonotonicTime now);
     [[nodiscard]] SideLink* choose(RequestRun const&);
     [[nodiscard]] bool send_dispatch(RequestRun&, SideLink&, Core::MonotonicTime now);
-    void leave_attempt(RequestRun&);
+    void close_attempt(RequestRun&);
     /// The present attempt did not run.
     void retry_unstarted(RequestRun&, ErrorAnswer, Core::MonotonicTime now);
     /// The present attempt did not run because its side process could not be reached or leaves.
@@ -108,38 +108,38 @@
 
     void acknowledge(SideLink&, RequestRun&, bool is_final);
     void acknowledge_stray(SideLink&, Policy::WorkKey const&);
-    void ask(SideLink&, RequestRun&, Core::MonotonicTime now);
+    void send_resume(SideLink&, RequestRun&, Core::MonotonicTime now);
     void revoke(SideLink&, RequestRun&);
 
     void tick_run(RequestRun&, Core::MonotonicTime now);
-    void give_up(RequestRun&, Core::MonotonicTime now);
+    void time_out(RequestRun&, Core::MonotonicTime now);
     void finish(RequestRun&, Outcome);
     void fail(RequestRun&, ErrorAnswer);
     void cut(RequestRun&, std::string const& code, std::string const& message);
     void record_attainment(RequestRun&, Outcome);
     [[nodiscard]] ClassMetrics& metrics_of(RequestRun const&);
-    void decide(RequestRun const&, std::string what);
+    void record_decision(RequestRun const&, std::string what);
     [[nodiscard]] RequestRun* find(Policy::WorkKey const&, SideLink const&);
     [[nodiscard]] std::vector<Core::RequestId> runs_at(SideLink const&);
-    void send_waiting_revocations(SideLink&);
+    void send_pending_revocations(SideLink&);
 
     /// Held requests in the order in which they are sent: by tier, then by arrival.
-    struct HeldPlace {
+    struct HeldKey {
         unsigned tier {0};
         Core::MonotonicTime received;
         Core::RequestId request;
 
-        auto operator<=>(HeldPlace const&) const = default;
+        auto operator<=>(HeldKey const&) const = default;
     };
 
-    static HeldPlace held_place(RequestRun const&);
+    static HeldKey held_key(RequestRun const&);
 
     Settings m_settings;
     LinkSet& m_links;
     Runs m_runs;
-    std::map<HeldPlace, ErrorAnswer> m_held;
-    /// Revocations that could not be sent, by backend server; s_largest_waiting_revocations at most.
-    std::map<std::string, std::vector<Protocol::Message::Envelope>> m_waiting_revocations;
+    std::map<HeldKey, ErrorAnswer> m_held;
+    /// Revocations that could not be sent, by backend server; s_max_pending_revocations at most.
+    std::map<std::string, std::vector<Protocol::Message::Envelope>> m_pending_revocations;
     WorkspaceLimits m_limits;
     Policy::RetryBudget m_retry_budget;
     std::variant<Policy::PredictedWaitChooser, Policy::RoundRobinChooser, Policy::LeastOutstandingChooser> m_chooser;
--- a/Libraries/LibEntry/Router.cpp
+++ b/Libraries/LibEntry/Router.cpp
@@ -11,10 +11,10 @@
 
 constexpr Core::Milliseconds s_tick_interval {50};
 /// How long an operator's request waits for the router before it gets the last status.
-constexpr Core::Milliseconds s_status_patience {1'000};
+constexpr Core::Milliseconds s_status_timeout {1'000};
 /// Calls and messages of one link that are taken in one turn before the others have theirs.
-constexpr int s_submissions_per_turn = 1'000;
-constexpr int s_messages_per_turn = 2'000;
+constexpr int s_max_submissions_per_iteration = 1'000;
+constexpr int s_max_messages_per_iteration = 2'000;
 
 }
 
@@ -56,7 +56,7 @@
     auto const seen = m_status_count;
     m_is_status_wanted = true;
     m_wake.signal();
-    m_status_signal.wait_for(lock, s_status_patience, [this, seen] { return m_status_count != seen; });
+    m_status_signal.wait_for(lock, s_status_timeout, [this, seen] { return m_status_count != seen; });
     return m_status;
 }
 
@@ -66,15 +66,15 @@
         wait_for_work();
         // Messages come before the clock, so that a pause of this process itself is not taken for the
         // silence of others.
-        take_messages();
+        receive_messages();
         follow_table();
-        take_submissions();
+        receive_submissions();
         tick();
         m_open_count = m_runs.count();
         if (m_is_status_wanted.exchange(false))
             publish_status();
     }
-    take_submissions();
+    receive_submissions();
     m_runs.abandon_all();
 }
 
@@ -90,9 +90,9 @@
     m_wake.drain();
 }
 
-void Router::take_submissions()
+void Router::receive_submissions()
 {
-    for (int count = 0; count < s_submissions_per_turn; ++count) {
+    for (int count = 0; count < s_max_submissions_per_iteration; ++count) {
         auto submission = m_submissions.try_pop();
         if (!submission)
             return;
@@ -102,15 +102,15 @@
     m_wake.signal();
 }
 
-void Router::take_messages()
+void Router::receive_messages()
 {
     for (auto const& [name, link] : m_links.all())
-        take_messages(*link);
+        receive_messages(*link);
 }
 
-void Router::take_messages(SideLink& link)
+void Router::receive_messages(SideLink& link)
 {
-    for (int count = 0; count < s_messages_per_turn; ++count) {
+    for (int count = 0; count < s_max_messages_per_iteration; ++count) {
         auto const message = link.receive();
         if (!message)
             return;
@@ -126,8 +126,8 @@
     switch (change) {
     case SideLink::Change::None:
         return;
-    case SideLink::Change::CameBack:
-        return m_runs.handle_came_back(link, Core::monotonic_now());
+    case SideLink::Change::Reconnected:
+        return m_runs.handle_reconnected(link, Core::monotonic_now());
     case SideLink::Change::Replaced:
         return m_runs.handle_replaced(link, Core::monotonic_now());
     case SideLink::Change::Lost:
--- a/Libraries/LibEntry/Router.h
+++ b/Libraries/LibEntry/Router.h
@@ -59,9 +59,9 @@
 private:
     void run();
     void wait_for_work();
-    void take_submissions();
-    void take_messages();
-    void take_messages(SideLink&);
+    void receive_submissions();
+    void receive_messages();
+    void receive_messages(SideLink&);
     void apply(SideLink&, SideLink::Change);
     void follow_table();
     void tick();
--- a/Libraries/LibEntry/SideLink.cpp
+++ b/Libraries/LibEntry/SideLink.cpp
@@ -15,9 +15,9 @@
 
 constexpr char const* s_log_prefix = "link: ";
 /// How often a side process that does not answer is greeted.
-constexpr Core::Milliseconds s_greeting_interval {200};
+constexpr Core::Milliseconds s_hello_interval {200};
 constexpr int s_reconnect_milliseconds = 50;
-constexpr int s_longest_reconnect_milliseconds = 1'000;
+constexpr int s_max_reconnect_milliseconds = 1'000;
 
 }
 
@@ -46,7 +46,7 @@
     // Without a connection a send fails at once, so that nothing is written for a process that is not there.
     m_socket.set(zmq::sockopt::immediate, true);
     m_socket.set(zmq::sockopt::reconnect_ivl, s_reconnect_milliseconds);
-    m_socket.set(zmq::sockopt::reconnect_ivl_max, s_longest_reconnect_milliseconds);
+    m_socket.set(zmq::sockopt::reconnect_ivl_max, s_max_reconnect_milliseconds);
     m_socket.set(zmq::sockopt::ipv6, m_backend_server.side_address.starts_with('['));
     m_socket.set(zmq::sockopt::routing_id, Core::to_hex(m_settings.own_incarnation.value()));
     m_socket.connect("tcp://" + m_backend_server.side_address);
@@ -61,7 +61,7 @@
 
 bool SideLink::is_available() const
 {
-    return m_is_up && m_is_greeted && !is_leaving();
+    return m_is_up && m_is_welcomed && !is_leaving();
 }
 
 std::optional<Envelope> SideLink::receive()
@@ -88,13 +88,13 @@
         m_control_bytes += size;
     bool const was_sent = m_socket.send(frame, zmq::send_flags::dontwait).has_value();
     if (!was_sent)
-        m_is_greeted = false;
-    m_has_said_something = true;
-    m_has_question = m_has_question || envelope.body_case() != Envelope::kAcknowledge;
+        m_is_welcomed = false;
+    m_has_sent = true;
+    m_is_reply_pending = m_is_reply_pending || envelope.body_case() != Envelope::kAcknowledge;
     return was_sent;
 }
 
-void SideLink::greet()
+void SideLink::send_hello()
 {
     auto envelope = Protocol::make_envelope();
     envelope.mutable_hello()->set_entry_incarnation(m_settings.own_incarnation.value());
@@ -102,7 +102,7 @@
     send(envelope);
 }
 
-void SideLink::ping()
+void SideLink::send_ping()
 {
     auto envelope = Protocol::make_envelope();
     envelope.mutable_ping()->set_entry_incarnation(m_settings.own_incarnation.value());
@@ -112,28 +112,28 @@
 
 SideLink::Change SideLink::tick(Core::MonotonicTime now)
 {
-    if (!m_is_greeted && Core::elapsed(m_last_greeting, now) >= s_greeting_interval) {
-        m_last_greeting = now;
-        greet();
+    if (!m_is_welcomed && Core::elapsed(m_last_hello, now) >= s_hello_interval) {
+        m_last_hello = now;
+        send_hello();
     }
     if (!m_is_up)
         return Change::None;
-    if (m_has_question && !m_question_since)
-        m_question_since = now;
-    if (m_question_since && Core::elapsed(*m_question_since, now) >= m_settings.silence_timeout) {
+    if (m_is_reply_pending && !m_reply_pending_since)
+        m_reply_pending_since = now;
+    if (m_reply_pending_since && Core::elapsed(*m_reply_pending_since, now) >= m_settings.silence_timeout) {
         m_is_up = false;
-        m_is_greeted = false;
+        m_is_welcomed = false;
         LOG(WARNING) << s_log_prefix << m_backend_server.name << " is silent; it gets no new work";
         return Change::Lost;
     }
     // Traffic stands for heartbeats in both directions: the side process forgets an entry that says nothing.
-    if (std::exchange(m_has_said_something, false))
-        m_last_said = now;
-    bool const is_idle = Core::elapsed(m_last_said, now) >= m_settings.heartbeat
+    if (std::exchange(m_has_sent, false))
+        m_last_sent = now;
+    bool const is_idle = Core::elapsed(m_last_sent, now) >= m_settings.heartbeat
         || Core::elapsed(m_last_heard, now) >= m_settings.heartbeat;
     if (is_idle && Core::elapsed(m_last_ping, now) >= m_settings.heartbeat) {
         m_last_ping = now;
-        ping();
+        send_ping();
     }
     return Change::None;
 }
@@ -152,8 +152,8 @@
         return Change::None;
     }
     m_last_heard = now;
-    m_has_question = false;
-    m_question_since.reset();
+    m_is_reply_pending = false;
+    m_reply_pending_since.reset();
     if (envelope.body_case() == Envelope::kWelcome)
         return note_welcome(envelope.welcome());
     if (envelope.body_case() == Envelope::kPong) {
@@ -161,7 +161,7 @@
         note_load(pong.load());
         if (pong.challenge() != m_challenge) {
             m_challenge = pong.challenge();
-            ping();
+            send_ping();
         }
     }
     return Change::None;
@@ -179,17 +179,17 @@
     }
     bool const was_known = m_incarnation != Core::Incarnation();
     bool const is_same = m_incarnation.value() == welcome.side_incarnation() && m_session == welcome.session();
-    bool const was_greeted = m_is_greeted;
+    bool const was_welcomed = m_is_welcomed;
     m_incarnation = Core::Incarnation(welcome.side_incarnation());
     m_session = welcome.session();
     m_challenge = welcome.challenge();
     m_is_up = true;
-    m_is_greeted = true;
+    m_is_welcomed = true;
     note_load(welcome.load());
     if (is_same)
-        return was_greeted ? Change::None : Change::CameBack;
+        return was_welcomed ? Change::None : Change::Reconnected;
     m_view.sent_by_tier = {};
-    return was_known ? Change::Replaced : Change::CameBack;
+    return was_known ? Change::Replaced : Change::Reconnected;
 }
 
 void SideLink::note_load(Protocol::Message::LoadReport const& load)
--- a/Libraries/LibEntry/SideLink.h
+++ b/Libraries/LibEntry/SideLink.h
@@ -29,7 +29,7 @@
     enum class Change {
         None,
         /// The same run of the side process is there again, with its memory of this entry.
-        CameBack,
+        Reconnected,
         /// Another run, or one that has forgotten this entry: all attempts there are lost.
         Replaced,
         /// It went silent.
@@ -68,7 +68,7 @@
     bool send(Protocol::Message::Envelope const&);
 
     /// The side process refused a dispatch as meant for another run: it is not what the link takes it for.
-    void note_other_incarnation() { m_is_greeted = false; }
+    void note_other_incarnation() { m_is_welcomed = false; }
     /// Takes a welcome, a pong or any other sign of life.
     [[nodiscard]] Change note_message(Protocol::Message::Envelope const&, Core::MonotonicTime now);
     /// Greets, pings, and notices silence.
@@ -88,8 +88,8 @@
 
 private:
     [[nodiscard]] Change note_welcome(Protocol::Message::Welcome const&);
-    void greet();
-    void ping();
+    void send_hello();
+    void send_ping();
 
     Settings m_settings;
     Table::BackendServer m_backend_server;
@@ -97,7 +97,7 @@
     bool m_is_up {false};
     /// The present connection has brought a welcome. A connection that broke may lead to another run of the
     /// side process, so that nothing new is sent before that.
-    bool m_is_greeted {false};
+    bool m_is_welcomed {false};
     bool m_is_draining {false};
     bool m_is_listed_as_leaving {false};
     bool m_is_removed {false};
@@ -108,12 +108,12 @@
     Core::MonotonicTime m_last_heard;
     Core::MonotonicTime m_last_ping;
     /// Something was sent that the side process has to answer, and nothing was heard since.
-    bool m_has_question {false};
-    std::optional<Core::MonotonicTime> m_question_since;
-    bool m_has_said_something {false};
-    Core::MonotonicTime m_last_said;
+    bool m_is_reply_pending {false};
+    std::optional<Core::MonotonicTime> m_reply_pending_since;
+    bool m_has_sent {false};
+    Core::MonotonicTime m_last_sent;
     std::uint64_t m_control_bytes {0};
-    Core::MonotonicTime m_last_greeting;
+    Core::MonotonicTime m_last_hello;
     Policy::BackendView m_view;
     std::uint64_t m_unreadable_count {0};
     std::optional<std::uint32_t> m_refused_version;
--- a/Libraries/LibEntry/WorkspaceLimits.cpp
+++ b/Libraries/LibEntry/WorkspaceLimits.cpp
@@ -14,7 +14,7 @@
 
 WorkspaceLimits::Usage& WorkspaceLimits::usage_of(Table::Workspace const& workspace)
 {
-    if (m_usages.size() >= s_largest_count && !m_usages.contains(workspace.name))
+    if (m_usages.size() >= s_max_workspaces && !m_usages.contains(workspace.name))
         absl::erase_if(m_usages, [](auto const& item) { return item.second.open == 0; });
     auto& usage = m_usages[workspace.name];
     bool const is_current = usage.requests_per_second == workspace.requests_per_second
--- a/Libraries/LibEntry/WorkspaceLimits.h
+++ b/Libraries/LibEntry/WorkspaceLimits.h
@@ -24,7 +24,7 @@
     };
 
     /// The workspaces that are tracked at once; idle ones give way.
-    static constexpr std::size_t s_largest_count = 20'000;
+    static constexpr std::size_t s_max_workspaces = 20'000;
 
     void set_entry_count(std::size_t count) { m_entry_count = count == 0 ? 1 : count; }
 
