--- a/Tests/LibCluster/DutyWorld.h
+++ b/Tests/LibCluster/DutySimulation.h
@@ -40,12 +40,12 @@
     Core::Milliseconds longest_sleep {0};
 };
 
-class World;
+class Simulation;
 
 /// What a gateway's reporter sees of the world: its clock, the store and the recipient.
 class Host {
 public:
-    Host(World& the_world, std::size_t number);
+    Host(Simulation& the_simulation, std::size_t number);
 
     // As the store of a reporter.
     std::optional<Platform::Object> read(std::string_view kind, std::string_view name);
@@ -55,7 +55,7 @@
     // As its recipient.
     ReportOutcome send(UsageReport const&, DutyCredentials const&, Core::Milliseconds limit);
 
-    World& world;
+    Simulation& simulation;
     std::string name;
     /// The process is inside a call, or asleep, until then.
     Core::MonotonicTime now;
@@ -72,9 +72,9 @@
 /// One gateway. A process that is killed is another object afterwards.
 class Node {
 public:
-    Node(World& world, std::size_t number, std::uint64_t incarnation);
+    Node(Simulation& simulation, std::size_t number, std::uint64_t incarnation);
 
-    void turn(Core::MonotonicTime now);
+    void tick(Core::MonotonicTime now);
 
     Host host;
     std::uint64_t incarnation;
@@ -89,17 +89,17 @@
 };
 
 /// All of it. Calls take effect when they are made, but for late ones; their answers take time.
-class World {
+class Simulation {
 public:
     static constexpr Core::Milliseconds s_step {10};
-    static constexpr Core::Milliseconds s_word_interval {100};
+    static constexpr Core::Milliseconds s_exchange_interval {100};
     static constexpr Core::Milliseconds s_latency {2};
     static constexpr Core::Milliseconds s_call_time {4};
     static constexpr Core::Milliseconds s_timeout {800};
     /// Workspaces of which each gateway counts one request in each interval of words.
     static constexpr std::size_t s_workspaces = 3;
 
-    explicit World(std::size_t count, std::uint64_t seed = 1)
+    explicit Simulation(std::size_t count, std::uint64_t seed = 1)
         : generator(seed)
     {
         for (std::size_t number = 0; number < count; ++number)
@@ -110,17 +110,17 @@
     void play(Core::Milliseconds duration, bool counts = true)
     {
         for (auto const end = now + duration; now < end; now += s_step) {
-            std::erase_if(m_late, [this](auto const& late) {
+            std::erase_if(m_late_writes, [this](auto const& late) {
                 bool const is_due = late.first <= now;
                 if (is_due)
                     late.second();
                 return is_due;
             });
-            if ((now - s_start) % s_word_interval == Core::MonotonicTime::duration::zero())
+            if ((now - s_start) % s_exchange_interval == Core::MonotonicTime::duration::zero())
                 exchange(counts);
             for (auto& node : nodes) {
                 if (node && node->host.now <= now)
-                    node->turn(now);
+                    node->tick(now);
             }
         }
     }
@@ -163,7 +163,7 @@
     }
     void apply_later(std::uint64_t expected, Platform::Json const& spec, Core::MonotonicTime at)
     {
-        m_late.emplace_back(at, [this, expected, spec] { apply(expected, spec); });
+        m_late_writes.emplace_back(at, [this, expected, spec] { apply(expected, spec); });
     }
 
     [[nodiscard]] std::vector<Arrival> arrivals_in_order() const
@@ -232,7 +232,7 @@
     static constexpr std::size_t s_many = 10'000;
     bool m_has_newcomer {false};
     std::uint64_t m_incarnations {0};
-    std::deque<std::pair<Core::MonotonicTime, std::function<void()>>> m_late;
+    std::deque<std::pair<Core::MonotonicTime, std::function<void()>>> m_late_writes;
 };
 
 inline DutySettings Node::settings_of(std::size_t number)
@@ -243,18 +243,18 @@
     return settings;
 }
 
-inline Host::Host(World& the_world, std::size_t number)
-    : world(the_world)
+inline Host::Host(Simulation& the_simulation, std::size_t number)
+    : simulation(the_simulation)
     , name(Core::concat("gateway-", number))
-    , now(the_world.now)
+    , now(the_simulation.now)
 {
 }
 
-inline Node::Node(World& world, std::size_t number, std::uint64_t the_incarnation)
-    : host(world, number)
+inline Node::Node(Simulation& simulation, std::size_t number, std::uint64_t the_incarnation)
+    : host(simulation, number)
     , incarnation(the_incarnation)
     , log(descriptor.number(), host.name, Core::Incarnation(the_incarnation), metrics)
-    , shared({}, the_incarnation, world.now)
+    , shared({}, the_incarnation, simulation.now)
     , reporter(
           settings_of(number), the_incarnation, static_cast<double>(number % 8) / 8, [this] { return host.now; },
           shared, host, host, log, metrics)
@@ -262,45 +262,45 @@
     reporter.set_watching(number < 4);
 }
 
-inline void Node::turn(Core::MonotonicTime time)
+inline void Node::tick(Core::MonotonicTime time)
 {
     host.now = time;
     auto const pause = reporter.step();
-    host.now += std::max(pause, World::s_step);
+    host.now += std::max(pause, Simulation::s_step);
 }
 
 inline std::optional<Platform::Object> Host::read(std::string_view, std::string_view object_name)
 {
-    ++world.store_calls;
-    if (world.faults.is_store_down || is_cut_from_store) {
-        now += World::s_timeout;
+    ++simulation.store_calls;
+    if (simulation.faults.is_store_down || is_cut_from_store) {
+        now += Simulation::s_timeout;
         throw Platform::PlatformUnavailable("down");
     }
-    now += World::s_call_time;
-    if (world.version == 0)
+    now += Simulation::s_call_time;
+    if (simulation.version == 0)
         return std::nullopt;
-    return Platform::Object {std::string(object_name), Platform::ObjectVersion(world.version), world.object};
+    return Platform::Object {std::string(object_name), Platform::ObjectVersion(simulation.version), simulation.object};
 }
 
 inline Platform::ObjectVersion Host::write(std::uint64_t expected, Platform::Json const& spec)
 {
-    ++world.store_calls;
-    if (world.faults.is_store_down || is_cut_from_store) {
-        now += World::s_timeout;
+    ++simulation.store_calls;
+    if (simulation.faults.is_store_down || is_cut_from_store) {
+        now += Simulation::s_timeout;
         throw Platform::PlatformUnavailable("down");
     }
-    if (world.happens(world.faults.late_writes)) {
-        auto const delay = std::uniform_int_distribution<std::int64_t>(200, 6'000)(world.generator);
-        world.apply_later(expected, spec, now + Core::Milliseconds(delay));
-        now += World::s_timeout;
+    if (simulation.happens(simulation.faults.late_writes)) {
+        auto const delay = std::uniform_int_distribution<std::int64_t>(200, 6'000)(simulation.generator);
+        simulation.apply_later(expected, spec, now + Core::Milliseconds(delay));
+        now += Simulation::s_timeout;
         throw Platform::PlatformUnavailable("no answer");
     }
-    auto const version = world.apply(expected, spec);
-    if (world.happens(world.faults.lost_answers)) {
-        now += World::s_timeout;
+    auto const version = simulation.apply(expected, spec);
+    if (simulation.happens(simulation.faults.lost_answers)) {
+        now += Simulation::s_timeout;
         throw Platform::PlatformUnavailable("no answer");
     }
-    now += World::s_call_time;
+    now += Simulation::s_call_time;
     if (!version)
         throw Platform::VersionConflict("another version");
     return Platform::ObjectVersion(*version);
@@ -319,20 +319,20 @@
 
 inline ReportOutcome Host::send(UsageReport const& report, DutyCredentials const& credentials, Core::Milliseconds limit)
 {
-    auto const longest = world.faults.longest_sleep.count();
-    now += Core::Milliseconds(std::uniform_int_distribution<std::int64_t>(0, longest)(world.generator));
-    if (world.faults.is_recipient_down || is_cut_from_recipient) {
+    auto const longest = simulation.faults.longest_sleep.count();
+    now += Core::Milliseconds(std::uniform_int_distribution<std::int64_t>(0, longest)(simulation.generator));
+    if (simulation.faults.is_recipient_down || is_cut_from_recipient) {
         now += limit;
         return ReportOutcome::Failed;
     }
-    bool const is_refused = world.happens(world.faults.over_rate);
-    world.arrivals.push_back({now, name, credentials.token, report, !is_refused});
+    bool const is_refused = simulation.happens(simulation.faults.over_rate);
+    simulation.arrivals.push_back({now, name, credentials.token, report, !is_refused});
     if (is_refused) {
-        now += World::s_call_time;
+        now += Simulation::s_call_time;
         return ReportOutcome::OverRate;
     }
-    bool const is_lost = world.happens(world.faults.lost_report_answers);
-    now += is_lost ? limit : World::s_call_time;
+    bool const is_lost = simulation.happens(simulation.faults.lost_report_answers);
+    now += is_lost ? limit : Simulation::s_call_time;
     return is_lost ? ReportOutcome::Failed : ReportOutcome::Accepted;
 }
 
