--- a/Libraries/LibCluster/DutyRecord.h
+++ b/Libraries/LibCluster/DutyRecord.h
@@ -13,34 +13,35 @@
 
 namespace GraniteField::Cluster {
 
-/// A report that is written down before it is sent, so that whoever holds the duty next sends the same or nothing.
+/// A usage report that the holder stores before sending it, so that its successor sends an identical report or none.
 struct RecordedReport {
     UsageReport report;
-    /// The recipient has said that it took it.
+    /// Whether the recipient has confirmed the report.
     bool is_accepted {false};
 };
 
-/// The one object in the platform's store that gives a duty to one host at a time, and holds what that host is about to
-/// send. It is only written under the version that was read, so that its versions form one chain.
+/// The object in the platform's store that assigns a duty to one host at a time and holds the reports that this host is
+/// about to send. Each write is conditional on the version that was read, so that the versions form a single chain.
 struct DutyRecord {
-    /// Holders before the present one that are remembered.
+    /// Maximum number of previous holders that are remembered.
     static constexpr std::size_t s_max_recent_holders = 8;
 
-    /// The host that holds the duty: its name and address, since another host may come under the same name.
+    /// Name and address of the holding host. The address distinguishes another host of the same name.
     std::string holder;
     /// The holder's incarnation.
     std::uint64_t term {0};
-    /// Rises with each change of holder; 0 in the write that changes it, whose version is the token: the store gives
-    /// no version twice, so that no two holders can have the same one, also when an answer was lost or came late.
+    /// Fencing token; increases with each change of holder. It is 0 in the write that changes the holder, where the
+    /// version of that write is the token. The store never assigns a version twice, so two holders cannot share a
+    /// token, even when an answer was lost or arrived late.
     std::uint64_t token {0};
-    /// Rises with each write, so that each one changes the object.
+    /// Incremented by each write, so that each write changes the object.
     std::uint64_t renewal {0};
     bool is_released {false};
-    /// Holders before, the newest last. One of them waits for a whole lease before it follows again.
+    /// Previous holders, newest last. Each of them waits for a full lease before it acquires the duty again.
     std::vector<std::string> recent_holders;
-    /// Windows up to this one are recorded, or will never be.
+    /// The last window whose report is recorded. Earlier windows without a report are never reported.
     UsageWindow recorded_through;
-    /// The newest ones.
+    /// The most recent reports.
     std::vector<RecordedReport> reports;
 
     [[nodiscard]] bool was_held_recently_by(std::string_view host) const
@@ -48,7 +49,7 @@
         return std::ranges::find(recent_holders, host) != recent_holders.end();
     }
 
-    /// Another host follows.
+    /// Assigns the duty to another host.
     void hand_over(std::string host, std::uint64_t new_term)
     {
         if (!holder.empty() && holder != host)
@@ -64,7 +65,7 @@
 };
 
 [[nodiscard]] Platform::Json encode_duty_record(DutyRecord const&);
-/// Nothing where the object has another form.
+/// Returns nullopt if the object has a different format.
 [[nodiscard]] std::optional<DutyRecord> decode_duty_record(Platform::Json const&);
 
 }
--- a/Libraries/LibCluster/DutyStatus.h
+++ b/Libraries/LibCluster/DutyStatus.h
@@ -8,19 +8,19 @@
 
 namespace GraniteField::Cluster {
 
-/// What gateways tell each other of who holds a duty, so that nobody has to poll the store. Nothing that must be right
-/// rests on it: a gateway that knows too little asks the store, and only the store gives a lease away.
+/// The holder of a duty as gateways report it to each other, so that they need not poll the store. Correctness does not
+/// depend on it: a gateway that lacks information reads the store, and only the store grants a lease.
 struct DutyStatus {
-    /// The lease object's newest version that is known somewhere; 0 for none.
+    /// Newest known version of the lease object; 0 if none is known.
     std::uint64_t version {0};
-    /// When that version was first version_seen of here: not before it was written.
+    /// When this gateway first learned of that version, which is never before it was written.
     Core::MonotonicTime version_seen;
-    /// When its holder was last known to be there and to reach the store.
+    /// When the holder was last known to be running and to reach the store.
     std::optional<Core::MonotonicTime> last_alive;
-    /// Its holder has given the lease up.
+    /// Whether the holder has released the lease.
     bool is_released {false};
 
-    /// Takes over what the other word knows better.
+    /// Applies what is newer in the other status.
     void merge(DutyStatus const& other)
     {
         if (other.version < version)
--- a/Libraries/LibCluster/DutyThread.h
+++ b/Libraries/LibCluster/DutyThread.h
@@ -13,7 +13,7 @@
 
 namespace GraniteField::Cluster {
 
-/// Something that is done step by step, each of which says when to look again.
+/// A duty that is performed in steps, each of which returns the time until the next step.
 template <typename Candidate>
 concept DutySteps = requires(Candidate duty, bool is_watching)
 {
@@ -24,11 +24,11 @@
     duty.release();
 };
 
-/// The thread on which a gateway takes part in a duty; its calls wait for their answers.
+/// Runs a duty on a thread of its own, since its steps make blocking calls.
 template <DutySteps Duty>
 class DutyThread {
 public:
-    /// Two steps follow each other no sooner, whatever they say.
+    /// Minimum time between two steps.
     static constexpr Core::Milliseconds s_min_pause {5};
 
     DutyThread(Duty& duty, std::function<bool()> is_watching)
@@ -42,7 +42,7 @@
     DutyThread(DutyThread const&) = delete;
     DutyThread& operator=(DutyThread const&) = delete;
 
-    /// Ends the duty here: the call in hand is finished, then it is given up. May be called again.
+    /// Stops the thread: waits for the current step, then releases the duty. May be called more than once.
     void stop()
     {
         {
