--- a/Libraries/LibCluster/FleetClock.h
+++ b/Libraries/LibCluster/FleetClock.h
@@ -9,30 +9,31 @@
 
 namespace GraniteField::Cluster {
 
-/// A time of day, to the millisecond.
+/// Wall-clock time in milliseconds.
 using WallTime = std::chrono::sys_time<Core::Milliseconds>;
 
-/// The time of day that gateways agree on, whatever the clocks of single hosts say. Hosts' clocks may be off, and may
-/// jump by seconds and back; the monotonic clock does not. So each gateway keeps one offset between the two, and takes
-/// it from the median of what all hosts' clocks say: a few clocks that are off put no request into another window. No
-/// I/O and no clock of its own; for one thread.
+/// Wall-clock time that all gateways agree on. Clocks of single hosts may be wrong, and may jump by seconds and back;
+/// the monotonic clock does not. Each gateway therefore keeps one offset between the monotonic clock and wall-clock
+/// time, taken from the median of all hosts' clocks, so that a few wrong clocks move no request into another window.
+/// Performs no I/O and reads no clock; not thread-safe.
 class FleetClock {
 public:
-    /// What is heard in the first seconds of a process is believed at once: it may have begun beside a clock that is
-    /// off, and its first words come from peers within 300 ms.
+    /// Time after the start of the process during which each new time is adopted at once: the first reading may come
+    /// from a wrong clock, and the first readings of peers arrive within 300 ms.
     static constexpr Core::Milliseconds s_settling_time {3'000};
-    /// Differences up to this are the ways' latencies and are followed; a larger one is a jump.
+    /// Differences up to this come from network latency and are followed at once; a larger one counts as a jump.
     static constexpr Core::Milliseconds s_max_latency_error {100};
-    /// A jump is believed when it has lasted for this long. Clocks that jump back do so sooner.
+    /// A jump is adopted after it has lasted for this long. Clocks that jump back do so sooner.
     static constexpr Core::Milliseconds s_jump_confirmation_time {10'000};
-    /// A time that so many times more hosts agree on is believed at once: this gateway had been alone with its clock.
+    /// A time that this many times more hosts agree on is adopted at once, since this gateway was isolated with its own
+    /// clock.
     static constexpr unsigned s_majority_factor {2};
-    /// A source that is silent for this long is left out. Gateways tell their clocks each second.
+    /// Age at which a reading is discarded. Gateways send their clocks once a second.
     static constexpr Core::Milliseconds s_reading_lifetime {3'000};
 
     enum class Source {
         Host,
-        /// Several hosts, of which the median is told.
+        /// A group of hosts, of which the median is sent.
         Group,
     };
 
@@ -47,16 +48,16 @@
     {
     }
 
-    /// A clock was read; `id` stands for the host or the group.
+    /// Adds a reading of a clock; `id` identifies the host or the group.
     void add_reading(std::uint64_t id, Reading, Core::MonotonicTime now);
-    /// Looks at the readings; to be called now and then.
+    /// Updates the agreed time from the readings; to be called periodically.
     void follow_readings(Core::MonotonicTime now);
-    /// Another gateway told the time that it has agreed on with so many hosts.
+    /// Applies the time that another gateway has agreed on with the given number of hosts.
     void follow_agreed_time(Reading, Core::MonotonicTime now);
 
-    /// The agreed time; nothing before anything was read.
+    /// Returns the agreed time; nullopt before the first reading.
     [[nodiscard]] std::optional<WallTime> at(Core::MonotonicTime now) const;
-    /// The median of single hosts' clocks, for others to count as a group; nothing where there is none.
+    /// Returns the median of single hosts' clocks, which other gateways count as a group; nullopt if there is none.
     [[nodiscard]] std::optional<Reading> host_median(Core::MonotonicTime now) const;
 
 private:
@@ -69,7 +70,7 @@
         Core::MonotonicTime received;
     };
 
-    /// The weighted median of those that the predicate takes.
+    /// Returns the weighted median of the readings that the predicate accepts.
     [[nodiscard]] std::optional<Reading> median(auto accepts, Core::MonotonicTime now) const;
     static Offset offset_of(WallTime time, Core::MonotonicTime now);
     void adopt(Offset, unsigned hosts, Core::MonotonicTime now);
@@ -77,9 +78,9 @@
     Core::MonotonicTime m_begun;
     std::map<std::uint64_t, KnownReading> m_readings;
     std::optional<Offset> m_agreed;
-    /// The most hosts that have agreed on it.
+    /// Largest number of hosts that have agreed on the offset.
     unsigned m_agreed_hosts {0};
-    /// Since when something else than the agreed offset is told.
+    /// When readings began to differ from the agreed offset.
     std::optional<Core::MonotonicTime> m_differs_since;
 };
 
--- a/Libraries/LibCluster/SharedDuty.cpp
+++ b/Libraries/LibCluster/SharedDuty.cpp
@@ -6,11 +6,10 @@
 
 namespace {
 
-/// Counts of windows that ended longer ago than their reports are due serve nobody; kept a little longer for clocks
-/// that differ.
+/// Windows are kept until their reports are late, and this many longer to allow for differing clocks.
 constexpr int s_extra_windows_kept = 2;
-/// What was lost of a closed window's counts is made good this much later. A lost datagram of ten in a hundred leaves
-/// one count in a hundred to it.
+/// Delay after which the counts of a closed window are sent once more. With one datagram in ten lost, this repetition
+/// has to replace one count in a hundred.
 constexpr Core::Milliseconds s_resend_delay {250};
 
 }
--- a/Libraries/LibCluster/SharedDuty.h
+++ b/Libraries/LibCluster/SharedDuty.h
@@ -15,32 +15,32 @@
 
 namespace GraniteField::Cluster {
 
-/// Windows of usage, and when their reports are due.
+/// Length of the usage windows and deadlines of their reports.
 struct UsageSettings {
     Core::Milliseconds window {5'000};
-    /// A report is worth nothing this long after the end of its window.
+    /// Time after the end of its window at which a report is too late to be used.
     Core::Milliseconds report_deadline {10'000};
-    /// Gateways that have not said that their counts are final are waited for, up to this part of `late`: what they
-    /// counted may be on its way, and the rest is left for a change of holder and for refused calls.
+    /// Longest wait, as a part of `report_deadline`, for gateways that have not closed the window: their counts may be
+    /// in transit. The rest of the time remains for a change of holder and for rejected calls.
     static constexpr double s_max_wait_ratio = 0.4;
-    /// What was counted in the last moment of a window is known everywhere by then: three reports of 50 ms each, and
-    /// the time that a slow host takes to look.
+    /// Shortest wait after the end of a window. It covers three reports of 50 ms each and the delay until a slow host
+    /// checks for them, so that counts from the end of the window have reached all gateways.
     static constexpr Core::Milliseconds s_min_wait {400};
 };
 
-/// What a gateway's thread and the thread of the duty both need: the counted usage, the agreed time, and the word on
-/// who holds the duty. Any thread.
+/// State that the gateway's thread shares with the thread of the duty: counted usage, agreed time and the status of the
+/// lease. Thread-safe.
 class SharedDuty {
 public:
     /// `self` is the gateway's incarnation.
     SharedDuty(UsageSettings, std::uint64_t self, Core::MonotonicTime begun);
 
-    /// A request of the workspace began to run then.
+    /// Counts a request of the workspace that started to run at the given time.
     void count(std::string const& workspace, Core::MonotonicTime begun);
 
     // For the exchange with other gateways.
 
-    /// Reads this host's clock, and closes windows that have ended.
+    /// Adds this host's clock reading, and closes windows that have ended. To be called periodically.
     void tick(WallTime own_clock, Core::MonotonicTime now);
     [[nodiscard]] bool has_changes() const;
     [[nodiscard]] std::vector<GatewayUsage> take_changes(std::size_t max_counts);
@@ -56,11 +56,11 @@
 
     // For the thread of the duty.
 
-    /// Windows behind that one whose reports can be made and are not late, with their counts, in order.
+    /// Returns, in order, the windows after the given one whose reports are ready and not late, with their counts.
     [[nodiscard]] std::vector<UsageReport> settled_reports(UsageWindow after, Core::MonotonicTime now) const;
-    /// What was counted in each window that is remembered, by all gateways.
+    /// Returns the sums over all gateways for each remembered window.
     [[nodiscard]] std::map<UsageWindow, std::uint64_t> window_totals() const;
-    /// Time until the window's report is late; nothing before the time is agreed.
+    /// Returns the time until the window's report is late; nullopt before a time is agreed.
     [[nodiscard]] std::optional<Core::Milliseconds> time_left(UsageWindow, Core::MonotonicTime now) const;
     [[nodiscard]] UsageSettings const& settings() const { return m_settings; }
 
@@ -73,7 +73,7 @@
     FleetClock m_clock;
     UsageLedger m_ledger;
     DutyStatus m_status;
-    /// When the closed window's counts are told once more.
+    /// The closed window whose counts are sent a second time, and when.
     std::optional<std::pair<UsageWindow, Core::MonotonicTime>> m_resend;
     UsageWindow m_current;
 };
--- a/Libraries/LibCluster/SharedQuarantine.h
+++ b/Libraries/LibCluster/SharedQuarantine.h
@@ -9,7 +9,7 @@
 
 namespace GraniteField::Cluster {
 
-/// A change of what is quarantined, for the store.
+/// A request that was quarantined or released, to be written to the store.
 struct QuarantineChange {
     enum class Kind {
         Added,
@@ -19,11 +19,12 @@
     Core::RequestDigest digest;
 };
 
-/// Hands quarantined requests from the gateway's thread to the one that keeps them in the store, and back at the start.
-/// Any thread.
+/// Passes changes of the quarantine from the gateway's thread to the thread that stores them, and passes stored
+/// requests back at startup. Thread-safe.
 class SharedQuarantine {
 public:
-    /// Changes that wait for the store; beyond them the oldest are dropped, and hold among the gateways only.
+    /// Maximum number of changes waiting for the store; when it is exceeded, the oldest change is dropped and takes
+    /// effect only among running gateways.
     static constexpr std::size_t s_max_changes = 4'096;
 
     void add_change(QuarantineChange const& change)
--- a/Libraries/LibCluster/UsageLedger.cpp
+++ b/Libraries/LibCluster/UsageLedger.cpp
@@ -46,7 +46,7 @@
         for (auto const& [workspace, count] : counts) {
             auto& known_count = known_counts[workspace];
             known_count = std::max(known_count, count);
-            // What comes again is handed on again: that is how losses are made good.
+            // Repeated counts are relayed again, since the repetition replaces lost datagrams.
             if (is_relayed)
                 m_changes.insert({usage.gateway, window, workspace});
         }
@@ -64,7 +64,7 @@
             by_gateway[change.gateway].windows[change.window][change.workspace] = found->second;
         m_changes.erase(item++);
     }
-    // A window is final for others only when all its counts have come.
+    // Announces the window as closed only after all of its counts were sent.
     if (m_changes.empty()) {
         for (auto const gateway : m_closed_changes)
             by_gateway[gateway].closed = m_gateways[gateway].closed;
--- a/Libraries/LibCluster/UsageLedger.h
+++ b/Libraries/LibCluster/UsageLedger.h
@@ -13,19 +13,19 @@
 
 namespace GraniteField::Cluster {
 
-/// What one gateway has counted, as far as it is told at once.
+/// Counts of one gateway, as far as they fit into one message.
 struct GatewayUsage {
     /// The gateway's incarnation.
     std::uint64_t gateway {0};
-    /// All of its counts up to this window are final and have been result.
+    /// All counts up to this window are final and were sent.
     UsageWindow closed;
-    /// Of windows and workspaces; a count replaces a smaller one.
+    /// Counts by window and workspace; a larger count replaces a smaller one.
     std::map<UsageWindow, UsageCounts> windows;
 };
 
-/// The usage that all gateways have counted, kept by each of them. Counters only grow and are told by the gateway that
-/// counts, so that merging is a maximum: a word that is repeated, late or out of order changes nothing, and what a
-/// gateway has told is known after it was killed. No I/O and no clock; for one thread.
+/// Usage counted by all gateways; each gateway keeps a copy. Counters only grow, and only the gateway that counts sends
+/// them, so merging takes the maximum: repeated, late or reordered messages change nothing, and counts that a gateway
+/// has sent survive it. Performs no I/O and reads no clock; not thread-safe.
 class UsageLedger {
 public:
     /// `self` is this gateway's incarnation.
@@ -34,34 +34,34 @@
     {
     }
 
-    /// A request of the workspace began to run here.
+    /// Counts a request of the workspace that started to run on this gateway.
     void count(UsageWindow, std::string const& workspace);
-    /// All that this gateway counts up to the window is counted. Tells the window's counts once more: what was lost on
-    /// the way is made good, and whoever began meanwhile has them.
+    /// Declares this gateway's counts up to the window final. Sends the window's counts once more, which replaces lost
+    /// messages and informs gateways that started in the meantime.
     void close(UsageWindow);
-    /// Tells the counts of that closed window once more.
+    /// Sends the counts of the closed window once more.
     void resend(UsageWindow);
 
-    /// Whether what was taken is to be told to others as well.
+    /// Whether merged counts are sent on to other gateways.
     enum class Relaying {
         No,
         Yes,
     };
     void merge(GatewayUsage const&, Relaying);
 
-    /// What is new to be told since the last call, at most so many counts; the others with the next call.
+    /// Returns at most `max_counts` counts that changed since the last call; the rest follows with the next call.
     [[nodiscard]] std::vector<GatewayUsage> take_changes(std::size_t max_counts);
-    /// All that is known, at most so many counts; for one that has just begun.
+    /// Returns all known counts, at most `max_counts`, for a gateway that has just started.
     [[nodiscard]] std::vector<GatewayUsage> snapshot(std::size_t max_counts) const;
     [[nodiscard]] bool has_changes() const { return !m_changes.empty() || !m_closed_changes.empty(); }
 
-    /// Windows behind that one in which something was counted.
+    /// Returns the windows after the given one that have counts.
     [[nodiscard]] std::vector<UsageWindow> windows_after(UsageWindow) const;
-    /// Sums over all gateways.
+    /// Returns the sums over all gateways.
     [[nodiscard]] UsageCounts totals(UsageWindow) const;
-    /// Whether all that have counted something in the window say that their counts are final.
+    /// Returns whether all gateways with counts in the window have closed it.
     [[nodiscard]] bool is_closed_by_all(UsageWindow) const;
-    /// Forgets windows below that one.
+    /// Removes all windows before the given one.
     void forget_before(UsageWindow);
 
 private:
@@ -70,7 +70,7 @@
         std::map<UsageWindow, UsageCounts> windows;
     };
 
-    /// A count that is to be result.
+    /// A count that is to be sent.
     struct Change {
         std::uint64_t gateway {0};
         UsageWindow window;
@@ -88,7 +88,7 @@
     std::uint64_t m_self;
     std::map<std::uint64_t, Counts> m_gateways;
     absl::flat_hash_set<Change> m_changes;
-    /// Gateways whose last final window is to be result.
+    /// Gateways whose last closed window is to be sent.
     absl::flat_hash_set<std::uint64_t> m_closed_changes;
 };
 
--- a/Libraries/LibCluster/UsageWindow.h
+++ b/Libraries/LibCluster/UsageWindow.h
@@ -9,10 +9,10 @@
 
 namespace GraniteField::Cluster {
 
-/// Number of a window of usage: window k begins k lengths after the start of 1970.
+/// Number of a usage window; window k starts k window lengths after the Unix epoch.
 using UsageWindow = Core::StrongInteger<struct UsageWindowTag>;
 
-/// Requests that began to run, by workspace.
+/// Number of requests that started to run, by workspace.
 using UsageCounts = std::map<std::string, std::uint64_t>;
 
 [[nodiscard]] inline std::uint64_t total_of(UsageCounts const& counts)
@@ -23,7 +23,7 @@
     return total;
 }
 
-/// What is reported for one window.
+/// Usage report for one window.
 struct UsageReport {
     UsageWindow window;
     UsageCounts counts;
@@ -36,7 +36,7 @@
     return UsageWindow(static_cast<std::uint64_t>(time.time_since_epoch() / length));
 }
 
-/// The first moment behind the window.
+/// Returns the first moment after the window.
 [[nodiscard]] inline WallTime end_of(UsageWindow window, Core::Milliseconds length)
 {
     return WallTime(length * static_cast<std::int64_t>(window.value() + 1));
