--- a/Libraries/LibCluster/QuarantineKeeper.h
+++ b/Libraries/LibCluster/QuarantineKeeper.h
@@ -13,16 +13,16 @@
 
 namespace GraniteField::Cluster {
 
-/// Keeps quarantined requests in the platform's store, one object each, so that they are known after all gateways have
-/// lost power at one moment: gateways tell each other only as long as one of them lives. The few gateways that watch
-/// the store read it once and write; the others hear of it from these. For the thread that calls step().
+/// Stores quarantined requests in the platform's store, one object each, so that they survive a simultaneous power loss
+/// of all gateways: gateways keep them in memory only. The few gateways that watch the store read it once and write to
+/// it, and inform the other gateways. Used by the thread that calls step().
 template <typename Store>
 class QuarantineKeeper {
 public:
     static constexpr std::string_view s_kind = "granitefield-quarantine";
-    /// Between two looks; a quarantine stands in the store about so long after it was concluded.
+    /// Time between two steps, and roughly the delay until a new quarantine is stored.
     static constexpr Core::Milliseconds s_interval {1'000};
-    /// After a call that failed: it doubles up to the longest.
+    /// Delay after a failed call; it doubles up to the maximum.
     static constexpr Core::Milliseconds s_min_backoff {250};
     static constexpr Core::Milliseconds s_max_backoff {4'000};
 
@@ -33,14 +33,14 @@
     {
     }
 
-    /// Whether this gateway is among the few that watch the store.
+    /// Sets whether this gateway is one of the few that watch the store.
     void set_watching(bool value) { m_is_watching = value; }
 
-    /// Does what is due, and says when to look again.
+    /// Performs the pending calls and returns the time until the next step.
     Core::Milliseconds step()
     {
         std::ranges::move(m_shared.take_changes(), std::back_inserter(m_changes));
-        // The watchers do it; this one may become one of them.
+        // Discards the changes, which the watching gateways store. This gateway may become one of them later.
         if (!m_is_watching) {
             m_changes.clear();
             return s_interval;
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Nothing is held beyond the process.
+    /// Does nothing, since the keeper holds no lease.
     void release() { }
 
 private:
@@ -90,7 +90,7 @@
         try {
             m_store.create(s_kind, name, {{"quarantined", true}});
         } catch (Platform::VersionConflict const&) {
-            // Another watcher was first, or a lost answer hid that it was done.
+            // Another watcher has created the object, or an earlier call succeeded without an answer.
         }
         m_stored.insert(change.digest);
     }
--- a/Libraries/LibCluster/UsageReporter.h
+++ b/Libraries/LibCluster/UsageReporter.h
@@ -18,7 +18,7 @@
 
 namespace GraniteField::Cluster {
 
-/// Where the lease lies: an object store with versions and conditional writes (Platform::ObjectClient).
+/// The store of the lease: an object store with versions and conditional writes (Platform::ObjectClient).
 template <typename Candidate>
 concept LeaseStore
     = requires(Candidate store, std::string_view name, Platform::ObjectVersion version, Platform::Json const& spec)
@@ -34,24 +34,24 @@
         } -> std::same_as<Platform::ObjectVersion>;
 };
 
-/// What became of a report that was sent.
+/// Result of sending a report.
 enum class ReportOutcome {
     Accepted,
-    /// Too many calls: to be sent again a little later.
+    /// Rejected by a rate limit; to be sent again after the call interval.
     OverRate,
-    /// The recipient has seen a later holder.
+    /// Rejected, since the recipient has seen the token of a later holder.
     Outdated,
-    /// Refused, lost or late; it may have been taken.
+    /// Rejected, lost or timed out; the recipient may have accepted it.
     Failed,
 };
 
-/// Who a duty's calls say that they come from.
+/// Identifies the holder in calls to the recipient.
 struct DutyCredentials {
     std::string holder;
     std::uint64_t token {0};
 };
 
-/// Takes reports of usage; the outcome comes within the limit.
+/// Receives usage reports; send() returns the outcome within the time limit.
 template <typename Candidate>
 concept ReportRecipient = requires(
     Candidate recipient, UsageReport const& report, DutyCredentials const& credentials, Core::Milliseconds limit)
@@ -61,59 +61,61 @@
         } -> std::same_as<ReportOutcome>;
 };
 
-/// How a gateway takes part in the duty of reporting usage.
+/// Timeouts of the duty of reporting usage.
 struct DutySettings {
-    /// This host: its name, as reports give it, and the address that tells it from another host of the same name.
+    /// Name of this host, as reports give it, and the address that distinguishes it from another host of the same name.
     std::string name;
     std::string address;
-    /// For so long after a write the holder may act, and nobody else.
+    /// Time after a write during which only the holder may act.
     Core::Milliseconds lease {3'000};
-    /// The holder stops acting this much earlier, since a process may sleep between looking at the clock and sending.
+    /// Safety margin by which the holder stops acting earlier, since the process may be suspended between reading the
+    /// clock and sending.
     Core::Milliseconds lease_margin {500};
     Core::Milliseconds call_timeout {800};
-    /// Between two calls to the recipient, which bounds the calls of all gateways together.
+    /// Minimum time between two calls to the recipient, which bounds the call rate of all gateways together.
     Core::Milliseconds min_call_interval {200};
-    /// So long the holder is not heard of before this gateway asks the store. It speaks each 100 ms; with a relay's
-    /// death 350 ms pass before the next one speaks.
+    /// Time without a sign of life from the holder after which this gateway reads the store. The holder announces
+    /// itself each 100 ms, and replacing a failed relay takes 350 ms.
     Core::Milliseconds holder_timeout {800};
-    /// Gateways that do not watch the store leave it to those who do for this much longer.
+    /// Additional delay of gateways that do not watch the store, which leave the duty to those that do.
     Core::Milliseconds non_watcher_delay {2'500};
-    /// One that has just begun has not heard all counts of the windows that are open, and leaves it to the others.
+    /// Time after its start during which a gateway leaves the duty to others, since it may lack counts of the open
+    /// windows.
     Core::Milliseconds startup_period {5'000};
 };
 
-/// One gateway's part in the duty of reporting usage, which one gateway at a time has. Who has it is settled by one
-/// object in the platform's store (DutyRecord):
+/// Takes part in the duty of reporting usage, which one gateway holds at a time. One object in the platform's store
+/// (DutyRecord) decides which:
 ///
-/// - A holder acts for the length of the lease at most, counted from before its last write was sent, by its own clock.
-/// - A successor writes only when the version that it replaces has not changed for the length of the lease, by its own
-///   clock, or when the holder has given it up. So no two act at once, and nobody acts with a token below one that was
-///   sent.
-/// - A report is written into the object before it is sent, by the write that renews the lease as well; who follows
-///   sends the same text. So two differing reports for one window are never sent, whatever is lost or late.
+/// - A holder acts for at most the length of the lease, measured on its own clock from before it sent its last write.
+/// - A successor writes only if the version that it replaces has not changed for the length of the lease on its own
+///   clock, or if the holder has released the lease. So no two gateways act at once, and none acts with a token lower
+///   than one already used.
+/// - A report is stored in the object before it is sent, in the same write that renews the lease, and a successor sends
+///   the same text. So two different reports for one window are never sent, even if messages are lost or late.
 ///
-/// While nothing is to be reported nothing is written: one write for each window, in place of three renewals.
-/// One thread; the clock, the store and the recipient are the caller's.
+/// Nothing is written while there is nothing to report: one write for each window replaces three renewals.
+/// Runs on one thread; the caller provides the clock, the store and the recipient.
 template <LeaseStore Store, ReportRecipient Recipient>
 class UsageReporter {
 public:
     static constexpr std::string_view s_kind = "granitefield-duties";
     static constexpr std::string_view s_name = "usage";
-    /// Between two looks while there is nothing to do.
+    /// Time between two steps while there is nothing to do.
     static constexpr Core::Milliseconds s_interval {200};
-    /// After a call to the store that failed: it doubles up to the longest.
+    /// Delay after a failed call to the store; it doubles up to the maximum.
     static constexpr Core::Milliseconds s_min_backoff {200};
     static constexpr Core::Milliseconds s_max_backoff {1'000};
-    /// A holder whose reports fail for this long gives the lease up, since another gateway may reach the recipient.
+    /// Time after which a holder whose reports fail releases the lease, since another gateway may reach the recipient.
     static constexpr Core::Milliseconds s_max_failing_time {2'500};
-    /// It leaves the lease to others for so long then.
+    /// Time during which it does not acquire the lease again.
     static constexpr Core::Milliseconds s_release_cooldown {4'000};
-    /// A holder that has not reached the store for this long no longer says that it is there.
+    /// Time without contact to the store after which a holder no longer announces itself.
     static constexpr Core::Milliseconds s_max_store_silence {1'500};
 
     using Clock = std::function<Core::MonotonicTime()>;
 
-    /// `order`, from 0 to 1, spreads the patience of the gateways.
+    /// `order`, from 0 to 1, spreads the gateways' timeouts.
     UsageReporter(DutySettings settings, std::uint64_t incarnation, double order, Clock clock, SharedDuty& shared,
         Store& store, Recipient& recipient, Observe::EventLog& log, Observe::MetricRegistry& metrics)
         : m_settings(std::move(settings))
@@ -126,17 +128,17 @@
         , m_recipient(recipient)
         , m_log(log)
         , m_holding(metrics.gauge("granitefield_duty_holding"))
-        , m_writes(metrics.counter("granitefield_duty_store_calls_total"))
+        , m_store_calls(metrics.counter("granitefield_duty_store_calls_total"))
         , m_accepted(metrics.counter("granitefield_usage_reports_total", {{"outcome", "accepted"}}))
         , m_missed(metrics.counter("granitefield_usage_reports_total", {{"outcome", "missed"}}))
         , m_started(m_clock())
     {
     }
 
-    /// Whether this gateway is among the few that watch the store.
+    /// Sets whether this gateway is one of the few that watch the store.
     void set_watching(bool value) { m_is_watching = value; }
 
-    /// Does what is due, at most one call, and says when to look again.
+    /// Makes at most one call and returns the time until the next step.
     Core::Milliseconds step()
     {
         if (m_is_stopped)
@@ -147,11 +149,11 @@
             m_store_backoff = s_min_backoff;
             return pause;
         } catch (Platform::VersionConflict const&) {
-            // Somebody else has written, or a write of this gateway's own was done late.
+            // Another gateway has written, or one of this gateway's own writes took effect late.
             m_must_read = true;
             return Core::Milliseconds(0);
         } catch (Platform::PlatformUnavailable const& error) {
-            // What was asked may have been done, or may be done later.
+            // The call may have taken effect, or may still do so.
             m_must_read = true;
             note_store_failure(error.what(), m_clock());
             auto const pause = m_store_backoff;
@@ -160,7 +162,8 @@
         }
     }
 
-    /// Gives the lease up, so that another gateway can follow at once; for a planned stop. Nothing is done after it.
+    /// Releases the lease for a planned stop, so that another gateway can acquire it at once. No step does anything
+    /// afterwards.
     void release()
     {
         m_is_stopped = true;
@@ -179,22 +182,22 @@
     [[nodiscard]] bool is_holding() const { return m_term.has_value(); }
 
 private:
-    /// The object as it was last seen.
-    struct Known {
+    /// The object as it was last read or written.
+    struct KnownObject {
         Platform::ObjectVersion version;
         DutyRecord record;
-        /// Not before that version was written.
+        /// When it was seen, which is never before that version was written.
         Core::MonotonicTime seen;
     };
 
     struct Term {
         std::uint64_t token {0};
-        /// The holder acts before this only.
+        /// The holder acts only before this time.
         Core::MonotonicTime valid_until;
         Core::MonotonicTime reached_store;
     };
 
-    // As the holder.
+    // Steps of the holder.
 
     Core::Milliseconds act_as_holder(Core::MonotonicTime now)
     {
@@ -205,17 +208,17 @@
         announce_alive(now);
         drop_late_reports(now);
         auto const fresh = m_shared.settled_reports(m_known->record.recorded_through, now);
-        auto* const unsent = first_unsent();
+        auto* const unaccepted = first_unaccepted();
         bool const can_send = now < m_term->valid_until;
-        if (!fresh.empty() || (unsent != nullptr && !can_send && now >= m_next_send)) {
+        if (!fresh.empty() || (unaccepted != nullptr && !can_send && now >= m_next_send)) {
             renew(fresh, now);
             return Core::Milliseconds(0);
         }
-        if (unsent == nullptr)
+        if (unaccepted == nullptr)
             return s_interval;
         if (now < m_next_send)
             return Core::elapsed(now, m_next_send) + Core::Milliseconds(1);
-        return send_report(*unsent);
+        return send_report(*unaccepted);
     }
 
     void renew(std::vector<UsageReport> const& fresh, Core::MonotonicTime now)
@@ -242,7 +245,7 @@
         auto const limit = std::min(m_settings.call_timeout, Core::elapsed(now, m_term->valid_until));
         if (limit.count() <= 0)
             return Core::Milliseconds(0);
-        ++m_tries;
+        ++m_attempt_count;
         auto const outcome = m_recipient.send(recorded.report, {m_settings.name, m_term->token}, limit);
         auto const after = m_clock();
         m_next_send = after + m_settings.min_call_interval;
@@ -250,7 +253,7 @@
                         .add("window", recorded.report.window.value())
                         .add("requests", total_of(recorded.report.counts))
                         .add("token", m_term->token)
-                        .add("try", m_tries)
+                        .add("try", m_attempt_count)
                         .add("outcome", to_text(outcome))
                         .add("took_ms", Core::elapsed(now, after)));
         switch (outcome) {
@@ -258,10 +261,10 @@
             recorded.is_accepted = true;
             m_accepted.add();
             m_failing_since.reset();
-            m_tries = 0;
+            m_attempt_count = 0;
             break;
         case ReportOutcome::Outdated:
-            drop_lease("the recipient has seen a later holder");
+            drop_lease("the recipient has seen the token of a later holder");
             m_must_read = true;
             break;
         case ReportOutcome::OverRate:
@@ -281,7 +284,7 @@
             return;
         m_failing_since.reset();
         m_next_check = now + s_release_cooldown;
-        release_lease("reports fail");
+        release_lease("sending reports keeps failing");
     }
 
     void release_lease(std::string_view reason)
@@ -295,7 +298,7 @@
         m_log.write(Observe::LogEvent("duty-released").add("token", token).add("reason", reason));
     }
 
-    /// Late reports serve nobody.
+    /// Removes reports that are late; the recipient ignores them.
     void drop_late_reports(Core::MonotonicTime now)
     {
         std::erase_if(m_known->record.reports, [&](auto const& recorded) {
@@ -305,13 +308,13 @@
                 m_missed.add();
                 m_log.write(Observe::LogEvent("usage-missed")
                                 .add("window", recorded.report.window.value())
-                                .add("tries", m_tries));
+                                .add("tries", m_attempt_count));
             }
             return is_late;
         });
     }
 
-    [[nodiscard]] RecordedReport* first_unsent()
+    [[nodiscard]] RecordedReport* first_unaccepted()
     {
         auto& reports = m_known->record.reports;
         auto const found = std::ranges::find_if(reports, [](auto const& recorded) { return !recorded.is_accepted; });
@@ -325,7 +328,7 @@
         m_shared.merge_status({m_known->version.value(), m_known->seen, now, false});
     }
 
-    // As one who may follow.
+    // Steps of a candidate.
 
     Core::Milliseconds look_for_lease(Core::MonotonicTime now)
     {
@@ -355,17 +358,17 @@
             delay += m_settings.holder_timeout;
         if (status.is_released)
             return Core::elapsed(status.version_seen, now) >= delay - m_settings.holder_timeout / 2;
-        auto const heard = std::max(status.last_alive.value_or(m_started), m_started);
-        return Core::elapsed(heard, now) >= m_settings.holder_timeout + delay;
+        auto const last_alive = std::max(status.last_alive.value_or(m_started), m_started);
+        return Core::elapsed(last_alive, now) >= m_settings.holder_timeout + delay;
     }
 
-    /// From when on nobody else can act under the version that is known.
+    /// Returns the time from which no other gateway can act under the known version.
     [[nodiscard]] Core::MonotonicTime acquirable_from() const
     {
         auto const& record = m_known->record;
-        bool const was_this_host = record.holder == m_own_id;
-        bool const is_free
-            = record.holder.empty() || was_this_host || (record.is_released && !record.was_held_recently_by(m_own_id));
+        bool const was_held_by_this_host = record.holder == m_own_id;
+        bool const is_free = record.holder.empty() || was_held_by_this_host
+            || (record.is_released && !record.was_held_recently_by(m_own_id));
         return is_free ? m_known->seen : m_known->seen + m_settings.lease;
     }
 
@@ -382,7 +385,7 @@
     {
         m_term = Term {token, valid_until, m_clock()};
         m_failing_since.reset();
-        m_tries = 0;
+        m_attempt_count = 0;
         m_holding.set(1);
         m_log.write(Observe::LogEvent("duty-taken").add("token", token).add("before", before));
     }
@@ -394,16 +397,16 @@
         m_holding.set(0);
     }
 
-    // The object.
+    // Access to the lease object.
 
     void read()
     {
-        m_writes.add();
+        m_store_calls.add();
         auto const object = m_store.read(s_kind, s_name);
         auto const now = m_clock();
         note_store_answer(now);
         if (!object) {
-            m_known = Known {Platform::ObjectVersion(), {}, now};
+            m_known = KnownObject {Platform::ObjectVersion(), {}, now};
             return;
         }
         auto record = decode_duty_record(object->spec);
@@ -417,37 +420,37 @@
         apply_known({object->version, *std::move(record), seen});
     }
 
-    void apply_known(Known known)
+    void apply_known(KnownObject known)
     {
         bool const is_own = known.record.holder == m_own_id && known.record.term == m_incarnation;
         if (m_term && !is_own)
-            drop_lease("another host has taken it over");
+            drop_lease("another host has acquired the lease");
         m_known = std::move(known);
         auto const& record = m_known->record;
         m_shared.merge_status({m_known->version.value(), m_known->seen, std::nullopt, record.is_released});
         if (m_term && record.is_released)
-            drop_lease("given up");
+            drop_lease("the lease was released");
         if (!is_own || record.is_released)
             return;
-        // A write whose answer was lost. Nobody knows when it was done: it gives no time to act, only the next one
-        // does.
+        // An earlier write took effect but its answer was lost, and the time of that write is unknown. The holder may
+        // act only after its next write.
         auto const token = record.token == 0 ? m_known->version.value() : record.token;
         if (!m_term)
-            start_term(token, m_clock(), "an answer that was lost");
+            start_term(token, m_clock(), "unknown, the answer to the write was lost");
         m_term->valid_until = m_clock();
     }
 
     void write(DutyRecord record, Core::MonotonicTime now)
     {
         ++record.renewal;
-        m_writes.add();
+        m_store_calls.add();
         auto const spec = encode_duty_record(record);
         auto const version = m_known->version == Platform::ObjectVersion()
             ? m_store.create(s_kind, s_name, spec)
             : m_store.update(s_kind, s_name, m_known->version, spec);
         auto const after = m_clock();
         note_store_answer(after);
-        m_known = Known {version, std::move(record), after};
+        m_known = KnownObject {version, std::move(record), after};
         m_shared.merge_status({version.value(), after, now, m_known->record.is_released});
     }
 
@@ -464,7 +467,7 @@
         if (!std::exchange(m_store_failing, true))
             m_log.write(Observe::LogEvent("duty-store-lost").add("holds", m_term.has_value()).add("reason", reason));
         if (m_term && now >= m_term->valid_until && Core::elapsed(m_term->reached_store, now) > s_max_store_silence)
-            drop_lease("the store is out of reach");
+            drop_lease("the store is unreachable");
         if (!m_term)
             m_next_check = now + m_settings.holder_timeout;
     }
@@ -494,22 +497,22 @@
     Recipient& m_recipient;
     Observe::EventLog& m_log;
     Observe::Gauge& m_holding;
-    Observe::Counter& m_writes;
+    Observe::Counter& m_store_calls;
     Observe::Counter& m_accepted;
     Observe::Counter& m_missed;
     Core::MonotonicTime m_started;
     bool m_is_watching {false};
     bool m_is_stopped {false};
-    std::optional<Known> m_known;
+    std::optional<KnownObject> m_known;
     std::optional<Term> m_term;
-    /// What the store holds is not known for sure.
+    /// The content of the store is unknown.
     bool m_must_read {false};
     bool m_store_failing {false};
     Core::Milliseconds m_store_backoff {s_min_backoff};
     Core::MonotonicTime m_next_check;
     Core::MonotonicTime m_next_send;
     std::optional<Core::MonotonicTime> m_failing_since;
-    unsigned m_tries {0};
+    unsigned m_attempt_count {0};
 };
 
 }
