--- a/Tests/LibCluster/DutySimulation.h
+++ b/Tests/LibCluster/DutySimulation.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Gateways, a store and a recipient of reports by simulated time, with what may fail between them.
+// Simulates gateways, an object store and a recipient of usage reports in simulated time, with injected faults.
 #include "NullDescriptor.h"
 
 #include <LibCluster/UsageReporter.h>
@@ -27,49 +27,49 @@
     bool is_accepted {false};
 };
 
-/// What fails now.
+/// Faults that are injected at present.
 struct Faults {
     bool is_store_down {false};
-    /// Part of the writes that are done and not answered, and of those that are done seconds later.
+    /// Probability that a write takes effect but its answer is lost, and that it takes effect seconds later.
     double lost_answers {0};
     double late_writes {0};
     bool is_recipient_down {false};
     double lost_report_answers {0};
     double over_rate {0};
-    /// The longest that a process sleeps between looking at its clock and sending.
+    /// Longest time for which a process is suspended between reading its clock and sending.
     Core::Milliseconds longest_sleep {0};
 };
 
 class Simulation;
 
-/// What a gateway's reporter sees of the world: its clock, the store and the recipient.
+/// The environment of one gateway's reporter: its clock, the store and the recipient.
 class Host {
 public:
     Host(Simulation& the_simulation, std::size_t number);
 
-    // As the store of a reporter.
+    // Interface of the store.
     std::optional<Platform::Object> read(std::string_view kind, std::string_view name);
     Platform::ObjectVersion create(std::string_view kind, std::string_view name, Platform::Json const&);
     Platform::ObjectVersion update(
         std::string_view kind, std::string_view name, Platform::ObjectVersion, Platform::Json const&);
-    // As its recipient.
+    // Interface of the recipient.
     ReportOutcome send(UsageReport const&, DutyCredentials const&, Core::Milliseconds limit);
 
     Simulation& simulation;
     std::string name;
-    /// The process is inside a call, or asleep, until then.
+    /// Time until which the process is blocked in a call or suspended.
     Core::MonotonicTime now;
     bool is_cut_from_peers {false};
     bool is_cut_from_store {false};
     bool is_cut_from_recipient {false};
-    /// This host's time of day is off by so much.
+    /// Error of this host's wall clock.
     Core::Milliseconds clock_error {0};
 
 private:
     Platform::ObjectVersion write(std::uint64_t expected, Platform::Json const&);
 };
 
-/// One gateway. A process that is killed is another object afterwards.
+/// One gateway process. A restarted gateway is a new object.
 class Node {
 public:
     Node(Simulation& simulation, std::size_t number, std::uint64_t incarnation);
@@ -88,7 +88,7 @@
     [[nodiscard]] static DutySettings settings_of(std::size_t number);
 };
 
-/// All of it. Calls take effect when they are made, but for late ones; their answers take time.
+/// The whole simulation. Calls take effect when they are made, except for late writes; their answers take time.
 class Simulation {
 public:
     static constexpr Core::Milliseconds s_step {10};
@@ -96,7 +96,7 @@
     static constexpr Core::Milliseconds s_latency {2};
     static constexpr Core::Milliseconds s_call_time {4};
     static constexpr Core::Milliseconds s_timeout {800};
-    /// Workspaces of which each gateway counts one request in each interval of words.
+    /// Number of workspaces; each gateway counts one request of each in every exchange interval.
     static constexpr std::size_t s_workspaces = 3;
 
     explicit Simulation(std::size_t count, std::uint64_t seed = 1)
@@ -106,7 +106,7 @@
             nodes.push_back(std::make_unique<Node>(*this, number, ++m_incarnations));
     }
 
-    /// Lets time pass; `counts` says whether requests begin meanwhile.
+    /// Advances the simulated time; `counts` says whether gateways count requests meanwhile.
     void play(Core::Milliseconds duration, bool counts = true)
     {
         for (auto const end = now + duration; now < end; now += s_step) {
@@ -134,7 +134,7 @@
         nodes[number] = std::make_unique<Node>(*this, number, ++m_incarnations);
     }
 
-    /// The gateway that holds the duty by its own word, or the count of gateways.
+    /// Returns the index of the gateway that considers itself the holder, or the number of gateways if there is none.
     [[nodiscard]] std::size_t holder() const
     {
         auto const found
@@ -152,7 +152,7 @@
         return WallTime(std::chrono::duration_cast<Core::Milliseconds>(time.time_since_epoch()) + s_epoch);
     }
 
-    /// What the store does with a write; nothing where its condition does not hold.
+    /// Applies a write to the store; returns nullopt if its condition does not hold.
     std::optional<std::uint64_t> apply(std::uint64_t expected, Platform::Json const& spec)
     {
         if (version != expected)
@@ -184,7 +184,7 @@
     std::uint64_t version {0};
     std::uint64_t revision {100};
     Platform::Json object;
-    /// What was counted in truth.
+    /// The actual counts.
     std::map<UsageWindow, UsageCounts> truth;
 
 private:
@@ -201,10 +201,10 @@
         for (auto& from : nodes) {
             if (!from || from->host.is_cut_from_peers)
                 continue;
-            auto usage = from->shared.take_changes(s_many);
-            // Whoever has just begun is told all of it.
+            auto usage = from->shared.take_changes(s_max_counts);
+            // A gateway that has just started receives all counts.
             if (std::exchange(has_newcomer, false))
-                usage = from->shared.usage_snapshot(s_many);
+                usage = from->shared.usage_snapshot(s_max_counts);
             auto status = from->shared.status();
             status.version_seen += s_latency;
             for (auto& to : nodes) {
@@ -229,7 +229,7 @@
         }
     }
 
-    static constexpr std::size_t s_many = 10'000;
+    static constexpr std::size_t s_max_counts = 10'000;
     bool m_has_newcomer {false};
     std::uint64_t m_incarnations {0};
     std::deque<std::pair<Core::MonotonicTime, std::function<void()>>> m_late_writes;
@@ -274,7 +274,7 @@
     ++simulation.store_calls;
     if (simulation.faults.is_store_down || is_cut_from_store) {
         now += Simulation::s_timeout;
-        throw Platform::PlatformUnavailable("down");
+        throw Platform::PlatformUnavailable("the store is down");
     }
     now += Simulation::s_call_time;
     if (simulation.version == 0)
@@ -287,7 +287,7 @@
     ++simulation.store_calls;
     if (simulation.faults.is_store_down || is_cut_from_store) {
         now += Simulation::s_timeout;
-        throw Platform::PlatformUnavailable("down");
+        throw Platform::PlatformUnavailable("the store is down");
     }
     if (simulation.happens(simulation.faults.late_writes)) {
         auto const delay = std::uniform_int_distribution<std::int64_t>(200, 6'000)(simulation.generator);
--- a/Tests/LibCluster/QuarantineKeeperTest.cpp
+++ b/Tests/LibCluster/QuarantineKeeperTest.cpp
@@ -1,5 +1,5 @@
-// That a quarantined request is known after all gateways were gone at one moment, and that the store's troubles cost
-// nothing else.
+// Guards against the loss of quarantined requests when all gateways stop at the same time, and against side effects of
+// failures of the store.
 #include "NullDescriptor.h"
 
 #include <LibCluster/QuarantineKeeper.h>
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// The platform's store, as far as the keeper uses it.
+/// Implements the calls of the platform's store that the keeper uses.
 class FakeStore {
 public:
     Platform::ObjectListing list(std::string_view)
@@ -29,7 +29,7 @@
     {
         begin_call();
         if (!m_objects.emplace(name, spec).second)
-            throw Platform::VersionConflict("there is one");
+            throw Platform::VersionConflict("the object exists");
         if (loses_answers)
             throw Platform::PlatformUnavailable("no answer");
     }
@@ -42,7 +42,7 @@
 
     [[nodiscard]] bool has(Core::RequestDigest const& digest) const { return m_objects.contains(digest.to_string()); }
 
-    bool is_away {false};
+    bool is_unreachable {false};
     bool loses_answers {false};
     int calls {0};
 
@@ -50,16 +50,16 @@
     void begin_call()
     {
         ++calls;
-        if (is_away)
-            throw Platform::PlatformUnavailable("away");
+        if (is_unreachable)
+            throw Platform::PlatformUnavailable("unreachable");
     }
 
     std::map<std::string, Platform::Json> m_objects;
 };
 
-/// One process that keeps what is quarantined.
-struct Keeper {
-    explicit Keeper(FakeStore& store)
+/// One gateway process with its keeper.
+struct GatewayProcess {
+    explicit GatewayProcess(FakeStore& store)
         : keeper(shared, store, log)
     {
         keeper.set_watching(true);
@@ -72,81 +72,81 @@
     QuarantineKeeper<FakeStore> keeper;
 };
 
-Core::RequestDigest const s_deadly = Core::RequestDigest::of("/deadly", "caller", "body");
-QuarantineChange const s_added {QuarantineChange::Kind::Added, s_deadly};
-QuarantineChange const s_removed {QuarantineChange::Kind::Removed, s_deadly};
+Core::RequestDigest const s_digest = Core::RequestDigest::of("/deadly", "caller", "body");
+QuarantineChange const s_added {QuarantineChange::Kind::Added, s_digest};
+QuarantineChange const s_removed {QuarantineChange::Kind::Removed, s_digest};
 
 }
 
-TEST(QuarantineKeeper, WhatIsHeldIsKnownAfterAllGatewaysWereGone)
+TEST(QuarantineKeeper, RestoresQuarantinedRequestsAfterAllGatewaysStopped)
 {
     FakeStore store;
     {
-        Keeper before(store);
+        GatewayProcess before(store);
         before.shared.add_change(s_added);
         before.keeper.step();
     }
-    Keeper after(store);
+    GatewayProcess after(store);
     after.keeper.step();
-    EXPECT_EQ(after.shared.take_loaded(), std::vector {s_deadly});
-    // It is not written again by those who have read it.
+    EXPECT_EQ(after.shared.take_loaded(), std::vector {s_digest});
+    // A request that was read from the store is not written again.
     after.shared.add_change(s_added);
     auto const calls = store.calls;
     after.keeper.step();
     EXPECT_EQ(store.calls, calls);
 }
 
-TEST(QuarantineKeeper, WaitsForTheStoreWithoutLosingAnything)
+TEST(QuarantineKeeper, RetriesUntilTheStoreIsReachableWithoutLosingChanges)
 {
     FakeStore store;
-    store.is_away = true;
-    Keeper keeper(store);
-    keeper.shared.add_change(s_added);
-    auto const first = keeper.keeper.step();
-    auto const second = keeper.keeper.step();
+    store.is_unreachable = true;
+    GatewayProcess process(store);
+    process.shared.add_change(s_added);
+    auto const first = process.keeper.step();
+    auto const second = process.keeper.step();
     EXPECT_GT(second, first);
-    store.is_away = false;
-    keeper.keeper.step();
-    EXPECT_TRUE(store.has(s_deadly));
+    store.is_unreachable = false;
+    process.keeper.step();
+    EXPECT_TRUE(store.has(s_digest));
 }
 
-TEST(QuarantineKeeper, ALostAnswerAndAnotherWatcherChangeNothing)
+TEST(QuarantineKeeper, ToleratesALostAnswerAndAnObjectThatExists)
 {
     FakeStore store;
     store.loses_answers = true;
-    Keeper first(store);
+    GatewayProcess first(store);
     first.shared.add_change(s_added);
     first.keeper.step();
-    ASSERT_TRUE(store.has(s_deadly));
+    ASSERT_TRUE(store.has(s_digest));
     store.loses_answers = false;
     first.keeper.step();
-    Keeper second(store);
+    GatewayProcess second(store);
     second.shared.add_change(s_added);
     second.keeper.step();
-    EXPECT_TRUE(store.has(s_deadly));
+    EXPECT_TRUE(store.has(s_digest));
 }
 
-TEST(QuarantineKeeper, WhatIsReleasedIsGoneFromTheStore)
+TEST(QuarantineKeeper, RemovesReleasedRequestsFromTheStore)
 {
     FakeStore store;
-    Keeper keeper(store);
-    keeper.shared.add_change(s_added);
-    keeper.keeper.step();
-    keeper.shared.add_change(s_removed);
-    keeper.keeper.step();
-    EXPECT_FALSE(store.has(s_deadly));
-    Keeper after(store);
+    GatewayProcess process(store);
+    process.shared.add_change(s_added);
+    process.keeper.step();
+    process.shared.add_change(s_removed);
+    process.keeper.step();
+    EXPECT_FALSE(store.has(s_digest));
+    GatewayProcess after(store);
     after.keeper.step();
     EXPECT_TRUE(after.shared.take_loaded().empty());
 }
 
-TEST(QuarantineKeeper, WhoDoesNotWatchTheStoreMakesNoCall)
+TEST(QuarantineKeeper, MakesNoCallUnlessItWatchesTheStore)
 {
     FakeStore store;
-    Keeper keeper(store);
-    keeper.keeper.set_watching(false);
-    keeper.shared.add_change(s_added);
-    keeper.keeper.step();
+    GatewayProcess process(store);
+    process.keeper.set_watching(false);
+    process.shared.add_change(s_added);
+    process.keeper.step();
     EXPECT_EQ(store.calls, 0);
 }
 
--- a/Tests/LibCluster/UsageLedgerTest.cpp
+++ b/Tests/LibCluster/UsageLedgerTest.cpp
@@ -1,4 +1,5 @@
-// Counters that gateways tell each other: repeats, losses and another order change nothing.
+// Tests that usage counts converge although messages are repeated, lost or reordered, and that the agreed time
+// tolerates wrong clocks.
 #include <LibCluster/FleetClock.h>
 #include <LibCluster/UsageLedger.h>
 
@@ -14,12 +15,12 @@
 
 namespace {
 
-constexpr std::size_t s_any_number = 1'000;
+constexpr std::size_t s_max_counts = 1'000;
 UsageWindow const s_window {7};
 
 }
 
-TEST(UsageLedger, AddsUpWhatGatewaysTell)
+TEST(UsageLedger, SumsCountsOfAllGateways)
 {
     UsageLedger first(1);
     UsageLedger second(2);
@@ -27,29 +28,29 @@
     first.count(s_window, "a");
     second.count(s_window, "a");
     second.count(s_window, "b");
-    for (auto const& usage : first.take_changes(s_any_number))
+    for (auto const& usage : first.take_changes(s_max_counts))
         second.merge(usage, UsageLedger::Relaying::No);
     EXPECT_EQ(second.totals(s_window), (UsageCounts {{"a", 3}, {"b", 1}}));
     EXPECT_EQ(first.totals(s_window), (UsageCounts {{"a", 2}}));
 }
 
-TEST(UsageLedger, AWindowIsFinalWhenAllThatCountedInItSaySo)
+TEST(UsageLedger, WindowIsClosedWhenAllCountingGatewaysClosedIt)
 {
     UsageLedger first(1);
     UsageLedger second(2);
     first.count(s_window, "a");
     second.count(s_window, "a");
-    for (auto const& usage : first.take_changes(s_any_number))
+    for (auto const& usage : first.take_changes(s_max_counts))
         second.merge(usage, UsageLedger::Relaying::No);
     second.close(s_window);
     EXPECT_FALSE(second.is_closed_by_all(s_window));
     first.close(s_window);
-    for (auto const& usage : first.take_changes(s_any_number))
+    for (auto const& usage : first.take_changes(s_max_counts))
         second.merge(usage, UsageLedger::Relaying::No);
     EXPECT_TRUE(second.is_closed_by_all(s_window));
 }
 
-TEST(UsageLedger, AWindowIsNotSaidToBeFinalBeforeItsCountsAreTold)
+TEST(UsageLedger, WindowIsNotAnnouncedAsClosedBeforeItsCountsAreSent)
 {
     UsageLedger first(1);
     UsageLedger second(2);
@@ -65,41 +66,42 @@
     EXPECT_EQ(second.totals(s_window).size(), 10U);
 }
 
-RC_GTEST_PROP(UsageLedger, RepeatsLossesAndAnotherOrderChangeNothing, ())
+RC_GTEST_PROP(UsageLedger, ToleratesRepeatedLostAndReorderedMessages, ())
 {
     std::mt19937_64 generator(*rc::gen::arbitrary<std::uint64_t>());
-    auto const happens = [&](double part) { return std::uniform_real_distribution<double>(0, 1)(generator) < part; };
+    auto const happens
+        = [&](double probability) { return std::uniform_real_distribution<double>(0, 1)(generator) < probability; };
     UsageLedger gateway(1);
     UsageLedger relay(2);
     UsageLedger holder(3);
-    std::vector<GatewayUsage> under_way;
+    std::vector<GatewayUsage> in_transit;
     UsageCounts truth;
     for (int step = 0; step < 200; ++step) {
         auto const workspace = std::to_string(generator() % 5);
         gateway.count(s_window, workspace);
         ++truth[workspace];
-        for (auto const& usage : gateway.take_changes(s_any_number)) {
+        for (auto const& usage : gateway.take_changes(s_max_counts)) {
             if (!happens(0.3))
                 relay.merge(usage, UsageLedger::Relaying::Yes);
         }
-        std::ranges::copy(relay.take_changes(s_any_number), std::back_inserter(under_way));
+        std::ranges::copy(relay.take_changes(s_max_counts), std::back_inserter(in_transit));
     }
-    std::ranges::shuffle(under_way, generator);
-    for (auto const& usage : under_way) {
+    std::ranges::shuffle(in_transit, generator);
+    for (auto const& usage : in_transit) {
         for (int copy = happens(0.2) ? 0 : 1 + static_cast<int>(generator() % 2); copy > 0; --copy)
             holder.merge(usage, UsageLedger::Relaying::No);
     }
-    // The end of the window makes all losses good.
+    // Closing the window sends all counts again.
     gateway.close(s_window);
-    for (auto const& usage : gateway.take_changes(s_any_number))
+    for (auto const& usage : gateway.take_changes(s_max_counts))
         relay.merge(usage, UsageLedger::Relaying::Yes);
-    for (auto const& usage : relay.take_changes(s_any_number))
+    for (auto const& usage : relay.take_changes(s_max_counts))
         holder.merge(usage, UsageLedger::Relaying::No);
     RC_ASSERT(holder.totals(s_window) == truth);
     RC_ASSERT(holder.is_closed_by_all(s_window));
 }
 
-TEST(FleetClock, TheMedianIsNotMovedByClocksThatAreOff)
+TEST(FleetClock, MedianIgnoresAMinorityOfWrongClocks)
 {
     Core::MonotonicTime const start {1h};
     WallTime const time {1'000'000h};
@@ -111,7 +113,7 @@
     EXPECT_EQ(clock.at(start + 1'234ms), time + 1'234ms);
 }
 
-TEST(FleetClock, AJumpOfEveryClockIsBelievedOnlyWhenItLasts)
+TEST(FleetClock, AdoptsAJumpOfAllClocksOnlyIfItPersists)
 {
     Core::MonotonicTime now {1h};
     WallTime const time {1'000'000h};
@@ -132,7 +134,7 @@
     EXPECT_EQ(clock.at(now), truth() + 2s);
 }
 
-TEST(FleetClock, AGroupCountsByItsHosts)
+TEST(FleetClock, GroupIsWeightedByItsNumberOfHosts)
 {
     Core::MonotonicTime const start {1h};
     WallTime const time {1'000'000h};
--- a/Tests/LibCluster/UsageReporterTest.cpp
+++ b/Tests/LibCluster/UsageReporterTest.cpp
@@ -1,5 +1,5 @@
-// The duty of reporting usage, played by simulated time: that two gateways never act at once, that a window is reported
-// once, and that it is reported in time whatever fails.
+// Runs the duty of reporting usage in simulated time. Checks that two gateways never act at once, that each window is
+// reported once, and that it is reported before its deadline under injected faults.
 #include "DutySimulation.h"
 
 #include <gtest/gtest.h>
@@ -17,14 +17,14 @@
 constexpr Core::Milliseconds s_window {5'000};
 constexpr Core::Milliseconds s_late {10'000};
 
-/// A token below one that was seen, or one token of two hosts.
-std::string broken_token_rule(std::vector<Arrival> const& arrivals)
+/// Describes an arrival with a token lower than an earlier one, or a token that two hosts used; empty if there is none.
+std::string token_violation(std::vector<Arrival> const& arrivals)
 {
     std::uint64_t highest = 0;
     std::map<std::uint64_t, std::string> hosts;
     for (auto const& arrival : arrivals) {
         if (arrival.token < highest)
-            return Core::concat("token ", arrival.token, " came after ", highest);
+            return Core::concat("token ", arrival.token, " arrived after ", highest);
         highest = arrival.token;
         auto const host = hosts.try_emplace(arrival.token, arrival.host).first->second;
         if (host != arrival.host)
@@ -33,23 +33,23 @@
     return {};
 }
 
-/// Holders act in the order A, B, A within the length of the lease.
-std::string broken_order_rule(std::vector<Arrival> const& arrivals)
+/// Describes hosts that act in the order A, B, A within the length of the lease; empty if there are none.
+std::string order_violation(std::vector<Arrival> const& arrivals)
 {
     for (std::size_t last = 0; last < arrivals.size(); ++last) {
         bool has_other = false;
         for (auto index = last; index-- > 0 && Core::elapsed(arrivals[index].at, arrivals[last].at) <= s_lease;) {
             bool const is_same = arrivals[index].host == arrivals[last].host;
             if (is_same && has_other)
-                return Core::concat(arrivals[last].host, " acted again after another one");
+                return Core::concat(arrivals[last].host, " acted again after another host");
             has_other = has_other || !is_same;
         }
     }
     return {};
 }
 
-/// Two differing reports for one window.
-std::string broken_report_rule(std::vector<Arrival> const& arrivals)
+/// Describes two different reports for one window; empty if there are none.
+std::string report_violation(std::vector<Arrival> const& arrivals)
 {
     std::map<UsageWindow, UsageCounts> accepted;
     for (auto const& arrival : arrivals) {
@@ -57,21 +57,22 @@
             continue;
         auto const& first = accepted.try_emplace(arrival.report.window, arrival.report.counts).first->second;
         if (first != arrival.report.counts)
-            return Core::concat("two reports for window ", arrival.report.window.value());
+            return Core::concat("two different reports for window ", arrival.report.window.value());
     }
     return {};
 }
 
-std::string broken_rule(Simulation const& simulation)
+std::string violation(Simulation const& simulation)
 {
     auto const arrivals = simulation.arrivals_in_order();
-    auto broken = broken_token_rule(arrivals);
-    if (broken.empty())
-        broken = broken_order_rule(arrivals);
-    return broken.empty() ? broken_report_rule(arrivals) : broken;
+    auto found = token_violation(arrivals);
+    if (found.empty())
+        found = order_violation(arrivals);
+    return found.empty() ? report_violation(arrivals) : found;
 }
 
-/// Windows that ended at least `margin` ago and behind `from`, and were not reported in time within the tolerance.
+/// Returns the windows after `from` that ended at least `margin` ago and were not reported in time and within the
+/// tolerance.
 std::vector<UsageWindow> missed_windows(
     Simulation const& simulation, Core::MonotonicTime from, Core::Milliseconds margin, double tolerance)
 {
@@ -85,15 +86,15 @@
                 && simulation.true_time(arrival.at) < end + s_late;
         };
         auto const found = std::ranges::find_if(simulation.arrivals, is_report);
-        bool is_right = found != simulation.arrivals.end() && found->report.counts.size() == counts.size();
-        for (auto item = counts.begin(); is_right && item != counts.end(); ++item) {
+        bool is_correct = found != simulation.arrivals.end() && found->report.counts.size() == counts.size();
+        for (auto item = counts.begin(); is_correct && item != counts.end(); ++item) {
             auto const reported = found->report.counts.find(item->first);
             auto const difference = reported == found->report.counts.end()
                 ? 1.0
                 : std::abs(static_cast<double>(reported->second) / static_cast<double>(item->second) - 1);
-            is_right = difference <= tolerance;
+            is_correct = difference <= tolerance;
         }
-        if (!is_right)
+        if (!is_correct)
             missed.push_back(window);
     }
     return missed;
@@ -101,18 +102,18 @@
 
 }
 
-TEST(UsageReporter, ReportsEachWindowOnceAndRightWithFewCalls)
+TEST(UsageReporter, ReportsEachWindowOnceAndCorrectlyWithFewStoreCalls)
 {
     Simulation simulation(12);
     simulation.play(60s);
-    EXPECT_EQ(broken_rule(simulation), "");
+    EXPECT_EQ(violation(simulation), "");
     EXPECT_TRUE(missed_windows(simulation, Simulation::s_start, 1s, 0).empty());
     EXPECT_EQ(simulation.arrivals.size(), 11U);
-    // One write for each window, and those that agree on the first holder.
+    // One write for each window, and the calls that select the first holder.
     EXPECT_LE(simulation.store_calls, 11U + 10U);
 }
 
-TEST(UsageReporter, AnotherGatewayFollowsWithinTheTimeThatAReportHas)
+TEST(UsageReporter, SuccessorTakesOverBeforeTheReportDeadline)
 {
     Simulation simulation(12);
     simulation.play(14s);
@@ -126,11 +127,11 @@
         simulation.play(3s);
     }
     simulation.play(20s);
-    EXPECT_EQ(broken_rule(simulation), "");
+    EXPECT_EQ(violation(simulation), "");
     EXPECT_TRUE(missed_windows(simulation, Simulation::s_start, s_late, 0.05).empty());
 }
 
-TEST(UsageReporter, AHolderThatStopsHandsOverWithinASecond)
+TEST(UsageReporter, StoppingHolderHandsOverWithinASecond)
 {
     Simulation simulation(12);
     simulation.play(14s);
@@ -145,11 +146,11 @@
         simulation.start(holder);
     }
     simulation.play(20s);
-    EXPECT_EQ(broken_rule(simulation), "");
+    EXPECT_EQ(violation(simulation), "");
     EXPECT_TRUE(missed_windows(simulation, Simulation::s_start, s_late, 0.05).empty());
 }
 
-TEST(UsageReporter, AHolderThatDoesNotReachTheRecipientLeavesTheDutyToAnother)
+TEST(UsageReporter, HolderThatCannotReachTheRecipientReleasesTheLease)
 {
     Simulation simulation(12);
     simulation.play(14s);
@@ -157,11 +158,11 @@
     ASSERT_LT(holder, simulation.nodes.size());
     simulation.nodes[holder]->host.is_cut_from_recipient = true;
     simulation.play(30s);
-    EXPECT_EQ(broken_rule(simulation), "");
+    EXPECT_EQ(violation(simulation), "");
     EXPECT_TRUE(missed_windows(simulation, Simulation::s_start, s_late, 0).empty());
 }
 
-TEST(UsageReporter, AHolderThatDoesNotReachTheStoreLosesTheDuty)
+TEST(UsageReporter, HolderThatCannotReachTheStoreLosesTheDuty)
 {
     Simulation simulation(12);
     simulation.play(14s);
@@ -170,11 +171,11 @@
     simulation.nodes[holder]->host.is_cut_from_store = true;
     simulation.play(30s);
     EXPECT_NE(simulation.holder(), holder);
-    EXPECT_EQ(broken_rule(simulation), "");
+    EXPECT_EQ(violation(simulation), "");
     EXPECT_TRUE(missed_windows(simulation, Simulation::s_start, s_late, 0).empty());
 }
 
-TEST(UsageReporter, AHolderThatIsCutOffFromItsPeersNeverActsBesideItsSuccessor)
+TEST(UsageReporter, HolderCutOffFromItsPeersNeverActsBesideItsSuccessor)
 {
     Simulation simulation(12);
     simulation.play(14s);
@@ -186,10 +187,10 @@
         simulation.nodes[holder]->host.is_cut_from_peers = false;
         simulation.play(3s);
     }
-    EXPECT_EQ(broken_rule(simulation), "");
+    EXPECT_EQ(violation(simulation), "");
 }
 
-TEST(UsageReporter, ReportsAfterAnOutageOfTheStoreWhatIsNotLate)
+TEST(UsageReporter, SendsReportsThatAreNotLateAfterAStoreOutage)
 {
     Simulation simulation(12);
     simulation.play(14s);
@@ -197,11 +198,11 @@
     simulation.play(6s);
     simulation.faults.is_store_down = false;
     simulation.play(25s);
-    EXPECT_EQ(broken_rule(simulation), "");
+    EXPECT_EQ(violation(simulation), "");
     EXPECT_TRUE(missed_windows(simulation, Simulation::s_start, s_late, 0).empty());
 }
 
-TEST(UsageReporter, WhatWasReportedIsKnownAfterAllProcessesWereLost)
+TEST(UsageReporter, RemembersReportsAfterAllProcessesRestarted)
 {
     Simulation simulation(12);
     simulation.play(13s);
@@ -211,11 +212,11 @@
         simulation.start(number);
     auto const restarted = simulation.now;
     simulation.play(40s);
-    EXPECT_EQ(broken_rule(simulation), "");
+    EXPECT_EQ(violation(simulation), "");
     EXPECT_TRUE(missed_windows(simulation, restarted, s_late, 0).empty());
 }
 
-TEST(UsageReporter, ClocksThatJumpMoveNoRequestIntoAnotherWindow)
+TEST(UsageReporter, JumpingClocksMoveNoRequestIntoAnotherWindow)
 {
     Simulation simulation(12);
     simulation.play(14s);
@@ -225,11 +226,11 @@
     for (std::size_t number = 0; number < 4; ++number)
         simulation.nodes[number]->host.clock_error = 0s;
     simulation.play(20s);
-    EXPECT_EQ(broken_rule(simulation), "");
+    EXPECT_EQ(violation(simulation), "");
     EXPECT_TRUE(missed_windows(simulation, Simulation::s_start, s_late, 0).empty());
 }
 
-TEST(UsageReporter, HalfOfTheFleetKilledAtOnceLosesNoMoreThanWhatWasUntold)
+TEST(UsageReporter, KillingHalfOfTheFleetLosesOnlyUnsentCounts)
 {
     Simulation simulation(12);
     simulation.play(17s);
@@ -239,12 +240,12 @@
     for (std::size_t number = 0; number < simulation.nodes.size(); number += 2)
         simulation.start(number);
     simulation.play(30s);
-    EXPECT_EQ(broken_rule(simulation), "");
+    EXPECT_EQ(violation(simulation), "");
     EXPECT_TRUE(missed_windows(simulation, Simulation::s_start, s_late, 0.05).empty());
 }
 
-/// Faults of all kinds, alone and together, each for a while; a quiet time follows.
-RC_GTEST_PROP(UsageReporter, KeepsItsRulesWhateverFails, ())
+/// Injects random faults, alone and combined, for random times, followed by a time without faults.
+RC_GTEST_PROP(UsageReporter, KeepsItsInvariantsUnderRandomFaults, ())
 {
     Simulation simulation(8, *rc::gen::arbitrary<std::uint64_t>());
     simulation.play(8s);
@@ -279,12 +280,13 @@
         node->host.is_cut_from_recipient = false;
         node->host.clock_error = 0ms;
     }
-    // Leases have run out, late writes are done, the clocks agree again, and windows begin anew.
+    // Until the end of this time leases have expired, late writes have taken effect, the clocks agree again and new
+    // windows have started.
     simulation.play(FleetClock::s_jump_confirmation_time + 5s);
-    auto const calm = simulation.now;
+    auto const faults_ended = simulation.now;
     simulation.play(25s);
-    RC_ASSERT(broken_rule(simulation) == "");
-    RC_ASSERT(missed_windows(simulation, calm, s_late, 0).empty());
+    RC_ASSERT(violation(simulation) == "");
+    RC_ASSERT(missed_windows(simulation, faults_ended, s_late, 0).empty());
 }
 
 }
