--- a/Tests/LibEntry/CallInterpreterTest.cpp
+++ b/Tests/LibEntry/CallInterpreterTest.cpp
@@ -27,7 +27,7 @@
     });
 }
 
-RawCall make_raw(std::string target, std::string body)
+RawCall make_raw_call(std::string target, std::string body)
 {
     return {"POST", std::move(target), {{"authorization", "Bearer secret"}, {"granitefield-class", "clerk"}},
         std::move(body)};
@@ -45,9 +45,9 @@
 
 }
 
-TEST(CallInterpreter, BindsACompletion)
+TEST(CallInterpreter, InterpretsACompletion)
 {
-    auto const result = interpret_call(make_raw("/v1/chat/completions", s_body), make_table(), {1, 2}, {});
+    auto const result = interpret_call(make_raw_call("/v1/chat/completions", s_body), make_table(), {1, 2}, {});
     auto const& call = std::get<Call>(result);
     EXPECT_EQ(call.service, "llm");
     EXPECT_TRUE(call.is_stream);
@@ -56,40 +56,41 @@
     EXPECT_NE(call.prefix_hash, 0U);
 }
 
-TEST(CallInterpreter, BindsAPlainServiceWithItsPath)
+TEST(CallInterpreter, InterpretsAPlainServiceWithItsPath)
 {
-    auto const result = interpret_call(make_raw("/services/pay/confirm/7?x=%20y", "{}"), make_table(), {1, 2}, {});
+    auto const result = interpret_call(make_raw_call("/services/pay/confirm/7?x=%20y", "{}"), make_table(), {1, 2}, {});
     auto const& call = std::get<Call>(result);
     EXPECT_EQ(call.path, "/confirm/7?x=%20y");
     EXPECT_FALSE(call.is_repeatable);
 }
 
-TEST(CallInterpreter, NamesWhatIsWrong)
+TEST(CallInterpreter, ReturnsTheErrorCodeOfAnInvalidRequest)
 {
-    EXPECT_EQ(code_of(make_raw("/v1/chat/completions", "{")), "bad_json");
-    EXPECT_EQ(code_of(make_raw("/v1/chat/completions", "[]")), "bad_json");
-    EXPECT_EQ(code_of(make_raw("/v1/chat/completions", "{}")), "bad_model");
-    EXPECT_EQ(code_of(make_raw("/v1/chat/completions", R"({"model": "other", "messages": [1]})")), "unknown_model");
-    EXPECT_EQ(code_of(make_raw("/services/llm/x", "")), "unknown_service");
-    EXPECT_EQ(code_of(make_raw("/elsewhere", "")), "not_found");
-    auto raw = make_raw("/services/pay/x", "");
+    EXPECT_EQ(code_of(make_raw_call("/v1/chat/completions", "{")), "bad_json");
+    EXPECT_EQ(code_of(make_raw_call("/v1/chat/completions", "[]")), "bad_json");
+    EXPECT_EQ(code_of(make_raw_call("/v1/chat/completions", "{}")), "bad_model");
+    EXPECT_EQ(
+        code_of(make_raw_call("/v1/chat/completions", R"({"model": "other", "messages": [1]})")), "unknown_model");
+    EXPECT_EQ(code_of(make_raw_call("/services/llm/x", "")), "unknown_service");
+    EXPECT_EQ(code_of(make_raw_call("/elsewhere", "")), "not_found");
+    auto raw = make_raw_call("/services/pay/x", "");
     raw.headers["idempotency-key"] = "my-own-key";
     EXPECT_EQ(code_of(raw), "bad_ticket");
-    raw = make_raw("/services/pay/x", "");
+    raw = make_raw_call("/services/pay/x", "");
     raw.headers["granitefield-class"] = "nobody";
     EXPECT_EQ(code_of(raw), "unknown_class");
     raw.headers["authorization"] = "Bearer wrong";
     EXPECT_EQ(code_of(raw), "unknown_key");
     raw.headers.erase("authorization");
     EXPECT_EQ(code_of(raw), "missing_key");
-    EXPECT_EQ(code_of(make_raw("/v1/chat/completions", std::string(100'000, '['))), "bad_json");
+    EXPECT_EQ(code_of(make_raw_call("/v1/chat/completions", std::string(100'000, '['))), "bad_json");
 }
 
-RC_GTEST_PROP(
-    CallInterpreter, TakesAnyInput, (std::string const& target, std::string const& body, std::string const& header))
+RC_GTEST_PROP(CallInterpreter, AcceptsOrRejectsArbitraryInput,
+    (std::string const& target, std::string const& body, std::string const& header))
 {
     for (auto const* base : {"/v1/chat/completions", "/services/pay", "/v1/tickets", ""}) {
-        auto raw = make_raw(base + target, body);
+        auto raw = make_raw_call(base + target, body);
         raw.headers["traceparent"] = header;
         raw.headers["granitefield-repeatable"] = header;
         auto const result = interpret_call(raw, make_table(), {1, 2}, {});
@@ -100,7 +101,7 @@
     }
 }
 
-TEST(RetryAfter, IsNeverEarlierThanMeant)
+TEST(RetryAfter, RoundsUpToWholeSeconds)
 {
     EXPECT_EQ(retry_after_seconds(1ms), 1);
     EXPECT_EQ(retry_after_seconds(1000ms), 1);
