--- a/Tests/LibCluster/DutySimulation.h
+++ b/Tests/LibCluster/DutySimulation.h
@@ -274,7 +274,7 @@
     ++simulation.store_calls;
     if (simulation.faults.is_store_down || is_cut_from_store) {
         now += Simulation::s_timeout;
-        throw Platform::PlatformUnavailable("the store is down");
+        throw Platform::PlatformUnavailable("down");
     }
     now += Simulation::s_call_time;
     if (simulation.version == 0)
@@ -287,7 +287,7 @@
     ++simulation.store_calls;
     if (simulation.faults.is_store_down || is_cut_from_store) {
         now += Simulation::s_timeout;
-        throw Platform::PlatformUnavailable("the store is down");
+        throw Platform::PlatformUnavailable("down");
     }
     if (simulation.happens(simulation.faults.late_writes)) {
         auto const delay = std::uniform_int_distribution<std::int64_t>(200, 6'000)(simulation.generator);
