--- a/Libraries/LibEntry/AttemptMessages.cpp
+++ b/Libraries/LibEntry/AttemptMessages.cpp
@@ -1,4 +1,4 @@
-// What RequestRuns does with each message of a side process about an attempt.
+// Handles a side process's messages about attempts (RequestRuns).
 #include <LibEntry/RequestRuns.h>
 
 #include <LibCore/Text.h>
@@ -14,10 +14,10 @@
 
 namespace {
 
-/// Chunks after which they are acknowledged, so that the side process keeps few.
+/// Number of chunks after which they are acknowledged, so that the side process buffers few.
 constexpr std::uint32_t s_chunks_per_acknowledgement = 32;
 
-/// Told to callers where the side process names no time.
+/// Minimum retry time that callers receive, also if the side process names none.
 constexpr Core::Milliseconds s_min_retry_after {100};
 
 ErrorAnswer error_for(Protocol::Message::Refused const& refused)
@@ -29,33 +29,34 @@
     case RefusalReason::REFUSAL_REASON_CLASS_QUEUE_FULL:
         return {503, "class_queue_full", "the class's queue is full", Outcome::NotRun, retry_after};
     case RefusalReason::REFUSAL_REASON_DISPLACED:
-        return {503, "displaced", "a request of a higher tier took the place", Outcome::NotRun, retry_after};
+        return {
+            503, "displaced", "a request of a higher tier displaced it from the queue", Outcome::NotRun, retry_after};
     case RefusalReason::REFUSAL_REASON_TARGET_OUT_OF_REACH:
         return {503, "target_out_of_reach", "the latency target can't be met", Outcome::NotRun, retry_after};
     case RefusalReason::REFUSAL_REASON_DEADLINE:
-        return {504, "gave_up", "the request had not begun within its class's limit", Outcome::NotRun, retry_after};
+        return {
+            504, "gave_up", "the request did not start within its class's time limit", Outcome::NotRun, retry_after};
     case RefusalReason::REFUSAL_REASON_DRAINING:
         return {503, "draining", "the backend server is leaving", Outcome::NotRun, retry_after};
     case RefusalReason::REFUSAL_REASON_ENGINE_DOWN:
-        return {503, "engine_down", "the backend server takes no connection", Outcome::NotRun, retry_after};
+        return {503, "engine_down", "the backend server refuses connections", Outcome::NotRun, retry_after};
     case RefusalReason::REFUSAL_REASON_TICKET_RUNNING:
-        return {409, "ticket_running", "the ticket's first use still runs", Outcome::Unknown, retry_after};
+        return {409, "ticket_running", "the ticket's first request is still running", Outcome::Unknown, retry_after};
     case RefusalReason::REFUSAL_REASON_TICKET_USED:
-        return {409, "ticket_used", "the ticket's request has been run and its answer is not kept", Outcome::Unknown,
+        return {409, "ticket_used", "the ticket's request has run and its answer is no longer stored", Outcome::Unknown,
             Core::Milliseconds(0)};
     case RefusalReason::REFUSAL_REASON_TICKET_EXPIRED:
-        return {409, "ticket_expired", "the ticket is too old; nobody can say whether it ran", Outcome::Unknown,
+        return {409, "ticket_expired", "the ticket has expired; whether its request ran is unknown", Outcome::Unknown,
             Core::Milliseconds(0)};
     case RefusalReason::REFUSAL_REASON_TICKET_MEMORY_FULL:
-        return {
-            503, "ticket_memory_full", "the side process can remember no more tickets", Outcome::NotRun, retry_after};
+        return {503, "ticket_memory_full", "the side process can't store more tickets", Outcome::NotRun, retry_after};
     default:
-        return {503, "not_taken", "the backend server's side process did not take the request", Outcome::NotRun,
+        return {503, "not_taken", "the backend server's side process did not accept the request", Outcome::NotRun,
             retry_after};
     }
 }
 
-/// Reasons that a side process gives only after it has found the ticket unused.
+/// Returns whether a side process refuses for this reason only after it has found the ticket unused.
 bool proves_ticket_unused(RefusalReason reason)
 {
     switch (reason) {
@@ -73,7 +74,7 @@
     }
 }
 
-/// Reasons that lie in the way to a backend server, not in its load.
+/// Returns whether the refusal is about reaching the side process and not about its load.
 bool is_reachability_refusal(RefusalReason reason)
 {
     return reason == RefusalReason::REFUSAL_REASON_OTHER_INCARNATION || reason == RefusalReason::REFUSAL_REASON_REVOKED
@@ -90,7 +91,7 @@
 
 void RequestRuns::handle(SideLink& link, Envelope const& message, Core::MonotonicTime now)
 {
-    // Finds the run that the message is about and hands both on; a message about no present attempt is a stray.
+    // Finds the run of the message's attempt. A message about any other attempt is a stray.
     auto const with_run = [&](auto const& body, auto handler) {
         auto* run = find(Protocol::key_of(body), link);
         if (run == nullptr)
@@ -124,8 +125,8 @@
 
 void RequestRuns::handle_stray(SideLink& link, Envelope const& message)
 {
-    // The end of an attempt that was given up: the side process may forget it. Everything else of such an
-    // attempt goes nowhere.
+    // Acknowledges the end of an abandoned attempt, so that the side process can forget it. Other messages about such
+    // an attempt are dropped.
     if (message.body_case() == Envelope::kFinished)
         acknowledge_stray(link, Protocol::key_of(message.finished()));
     else if (message.body_case() == Envelope::kFailed)
@@ -207,9 +208,9 @@
 
 void RequestRuns::handle_unknown(SideLink&, RequestRun& run, Core::MonotonicTime now)
 {
-    record_decision(run, Core::concat(run.attempt()->backend_server, " never got the dispatch"));
+    record_decision(run, Core::concat(run.attempt()->backend_server, " did not receive the dispatch"));
     retry_unreached(run,
-        {503, "not_taken", "the backend server's side process did not get the request", Outcome::NotRun,
+        {503, "not_taken", "the backend server's side process did not receive the request", Outcome::NotRun,
             Core::Milliseconds(200)},
         now);
 }
@@ -223,7 +224,7 @@
     case ChunkResult::Repeated:
         return;
     case ChunkResult::Gap:
-        // Once for each gap and interval: the answer to the question brings everything that is missing.
+        // One Resume message for each gap and interval suffices: the reply brings all missing chunks.
         if (now - attempt.last_resume > m_settings.resume_interval / 10)
             send_resume(link, run, now);
         return;
@@ -248,10 +249,10 @@
     acknowledge(link, run, true);
     if (!run.is_whole(finished)) {
         m_metrics.counter("granitefield_entry_integrity_failures_total").add();
-        LOG(ERROR) << "entry: the answer to " << run.call().id.to_string() << " is not what " << attempt.backend_server
-                   << " sent";
+        LOG(ERROR) << "entry: the answer to " << run.call().id.to_string() << " differs from what "
+                   << attempt.backend_server << " sent";
         return retry_lost(run,
-            {502, "answer_damaged", "the answer was damaged on its way", Outcome::Unknown, Core::Milliseconds(1000)},
+            {502, "answer_damaged", "the answer was corrupted in transit", Outcome::Unknown, Core::Milliseconds(1000)},
             now);
     }
     run.complete(finished.is_replay());
--- a/Libraries/LibEntry/AttemptQuestions.cpp
+++ b/Libraries/LibEntry/AttemptQuestions.cpp
@@ -1,4 +1,4 @@
-// How RequestRuns keeps in step with side processes: what it asks and revokes, and what it does when a link changes.
+// Synchronizes RequestRuns with the side processes: sends Resume and Revoke messages and handles changes of links.
 #include <LibEntry/RequestRuns.h>
 
 #include <LibProtocol/ProtocolVersion.h>
@@ -8,8 +8,8 @@
 namespace {
 
 constexpr Core::Milliseconds s_no_backend_retry_after {1'000};
-/// Revocations kept for a link that is down. What is beyond is stopped by the side process itself, when it
-/// finds its entry silent or the request's time over.
+/// Maximum number of revocations kept for a link that is down. The side process stops any further attempts itself when
+/// its entry is silent or the request's time limit has passed.
 constexpr std::size_t s_max_pending_revocations = 10'000;
 
 }
@@ -42,8 +42,8 @@
     for (auto const& id : runs_at(link)) {
         auto& run = m_runs.at(id);
         retry_lost(run,
-            {502, "side_lost", "the side process was replaced while it had the request", Outcome::Unknown,
-                s_no_backend_retry_after},
+            {502, "side_lost", "the side process restarted, or has forgotten this entry, while it had the request",
+                Outcome::Unknown, s_no_backend_retry_after},
             now);
     }
 }
@@ -52,12 +52,13 @@
 {
     for (auto const& id : runs_at(link)) {
         auto& run = m_runs.at(id);
-        // What may not run twice, or has begun at the caller, waits for the side process to come back.
+        // A request that may not run twice, or whose answer has begun to reach the caller, waits until the side process
+        // reconnects.
         if (!run.call().is_repeatable || run.has_forwarded())
             continue;
         revoke(link, run);
         retry_lost(run,
-            {502, "side_silent", "the side process that had the request is silent", Outcome::Unknown,
+            {502, "side_silent", "the side process that had the request does not respond", Outcome::Unknown,
                 s_no_backend_retry_after},
             now);
     }
@@ -88,7 +89,7 @@
     Protocol::set_key(message, run.key());
     message.set_side_incarnation(link.incarnation().value());
     message.set_session(link.session());
-    // A call that may not be repeated is left to end: to break it off would not undo it.
+    // A call that is not repeatable runs to its end, since cancelling would not undo it.
     message.set_should_cancel_running(run.call().is_repeatable);
     if (link.send(envelope))
         return;
--- a/Libraries/LibEntry/Dispatching.cpp
+++ b/Libraries/LibEntry/Dispatching.cpp
@@ -1,4 +1,4 @@
-// How RequestRuns chooses a backend server, and what it does when an attempt brings no answer.
+// Selects backend servers and retries attempts that ended without an answer (RequestRuns).
 #include <LibEntry/RequestRuns.h>
 
 #include <LibCore/Text.h>
@@ -20,11 +20,11 @@
 {
     auto const links = m_links.available(call.service);
     if (links.empty()) {
-        ErrorAnswer const error {503, "no_backend", "no backend server of the service can be reached", Outcome::NotRun,
+        ErrorAnswer const error {503, "no_backend", "no backend server of the service is reachable", Outcome::NotRun,
             s_no_backend_retry_after};
         return exchange.answer(make_error_answer(error, call.id));
     }
-    // The least loaded one: the ticket ties the request to it.
+    // Chooses the least loaded backend server, since the ticket binds the request to it.
     auto const* link = *std::ranges::min_element(links, {}, [](auto const* candidate) {
         return std::pair(Policy::predicted_wait(candidate->view(), Policy::s_urgent_tier),
             candidate->view().running + candidate->view().open);
@@ -64,10 +64,10 @@
     return false;
 }
 
-void RequestRuns::dispatch(RequestRun& run, ErrorAnswer otherwise, Core::MonotonicTime now)
+void RequestRuns::dispatch(RequestRun& run, ErrorAnswer fallback, Core::MonotonicTime now)
 {
     if (!try_dispatch(run, now))
-        fail(run, std::move(otherwise));
+        fail(run, std::move(fallback));
 }
 
 RequestRuns::HeldKey RequestRuns::held_key(RequestRun const& run)
@@ -75,18 +75,18 @@
     return {run.call().request_class.tier, run.call().received, run.call().id};
 }
 
-void RequestRuns::dispatch_or_hold(RequestRun& run, ErrorAnswer otherwise, Core::MonotonicTime now)
+void RequestRuns::dispatch_or_hold(RequestRun& run, ErrorAnswer fallback, Core::MonotonicTime now)
 {
     if (try_dispatch(run, now))
         return;
     auto const limit = std::min(m_settings.hold_limit, run.call().request_class.give_up_after);
     if (!m_links.has_service(run.call().service) || Core::elapsed(run.call().received, now) >= limit)
-        return fail(run, std::move(otherwise));
-    record_decision(run, Core::concat("waits at the entry: ", otherwise.message));
-    m_held.emplace(held_key(run), std::move(otherwise));
+        return fail(run, std::move(fallback));
+    record_decision(run, Core::concat("waits in the entry: ", fallback.message));
+    m_held.emplace(held_key(run), std::move(fallback));
     if (m_held.size() <= m_settings.max_held_requests)
         return;
-    // The last place belongs to the lowest tier, and there to the latest.
+    // The queue is full: the latest request of the lowest tier fails.
     auto last = std::prev(m_held.end());
     auto& last_run = m_runs.at(last->first.request);
     auto error = std::move(last->second);
@@ -96,20 +96,20 @@
 
 void RequestRuns::dispatch_held(Core::MonotonicTime now)
 {
-    std::vector<HeldKey> places;
-    places.reserve(m_held.size());
-    for (auto const& [place, error] : m_held)
-        places.push_back(place);
-    for (auto const& place : places) {
-        auto& run = m_runs.at(place.request);
-        run.forget_tries();
-        auto node = m_held.extract(place);
+    std::vector<HeldKey> keys;
+    keys.reserve(m_held.size());
+    for (auto const& [key, error] : m_held)
+        keys.push_back(key);
+    for (auto const& key : keys) {
+        auto& run = m_runs.at(key.request);
+        run.clear_tried();
+        auto node = m_held.extract(key);
         if (run.exchange().is_caller_gone()) {
             finish(run, Outcome::Cut);
             continue;
         }
         auto const limit = std::min(m_settings.hold_limit, run.call().request_class.give_up_after);
-        if (Core::elapsed(place.received, now) >= limit)
+        if (Core::elapsed(key.received, now) >= limit)
             fail(run, std::move(node.mapped()));
         else if (!try_dispatch(run, now))
             m_held.insert(std::move(node));
@@ -120,16 +120,17 @@
 {
     auto const ticket = Side::Ticket::from_string(run.call().ticket);
     auto* link = m_links.find(ticket->backend_server);
-    // Only the run of the side process that the ticket names can say what became of it.
+    // Only the incarnation of the side process that the ticket names knows whether the request ran.
     if (link == nullptr || (link->is_up() && link->incarnation() != ticket->side))
         return fail(run,
-            {409, "ticket_lost", "the side process that the ticket is bound to is gone; nobody can say whether it ran",
+            {409, "ticket_lost",
+                "the side process that the ticket is bound to no longer runs; whether the request ran is unknown",
                 Outcome::Unknown, Core::Milliseconds(0)});
     if (link->is_up() && link->backend_server().service == run.call().service && send_dispatch(run, *link, now))
         return;
     fail(run,
         {503, "ticket_unreachable",
-            "the backend server that the ticket is bound to can't be reached now; try the same ticket again",
+            "the backend server that the ticket is bound to is unreachable; retry with the same ticket",
             Outcome::Unknown, s_no_backend_retry_after});
 }
 
@@ -175,7 +176,7 @@
     record_decision(run,
         Core::concat("sent attempt ", attempt.number.value(), " to ", attempt.backend_server, ": expected wait ",
             Policy::predicted_wait(link.view(), call.request_class.tier).count() / 1000, " ms, ", link.view().running,
-            " of ", link.view().slots, " slots taken"));
+            " of ", link.view().slots, " slots in use"));
     return true;
 }
 
@@ -197,7 +198,7 @@
     run.note_refusal(error.retry_after);
     close_attempt(run);
     bool const has_time = Core::elapsed(run.call().received, now) < run.call().request_class.give_up_after;
-    // A ticket runs at its own side process or nowhere.
+    // A request with a ticket runs only at the ticket's side process.
     if (!has_time || !run.call().ticket.empty())
         return fail(run, std::move(error));
     dispatch(run, std::move(error), now);
@@ -222,7 +223,7 @@
     if (!run.call().is_repeatable || !has_time || !m_retry_budget.try_spend())
         return fail(run, std::move(error));
     m_metrics.counter("granitefield_entry_retries_total").add();
-    record_decision(run, Core::concat("tries again: ", error.message));
+    record_decision(run, Core::concat("retries: ", error.message));
     dispatch_or_hold(run, std::move(error), now);
 }
 
--- a/Libraries/LibEntry/RequestRun.cpp
+++ b/Libraries/LibEntry/RequestRun.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr int s_status_ok = 200;
-/// An answer that is no event stream is kept until it is whole, up to this size; a larger one is handed on
-/// as it comes.
+/// An answer that is not an event stream is buffered until it is complete, up to this size; a larger one is forwarded
+/// as it arrives.
 constexpr std::size_t s_max_buffered_answer_bytes = 1U << 20U;
 
 }
@@ -75,13 +75,13 @@
 void RequestRun::forward(std::string const& payload)
 {
     if (m_is_event_stream) {
-        auto const passed = m_gate.add(payload);
-        if (passed.empty())
+        auto const events = m_gate.add(payload);
+        if (events.empty())
             return;
         if (!m_has_forwarded)
             m_exchange->begin_stream(m_attempt->status, m_attempt->content_type);
         m_has_forwarded = true;
-        m_exchange->append(passed);
+        m_exchange->append(events);
         return;
     }
     if (m_has_forwarded) {
--- a/Libraries/LibEntry/RequestRun.h
+++ b/Libraries/LibEntry/RequestRun.h
@@ -15,14 +15,14 @@
 
 namespace GraniteField::Entry {
 
-/// One try to run a request at one backend server, as the entry sees it.
+/// The entry's state of one attempt to run a request at a backend server.
 struct AttemptView {
     enum class State {
-        /// The dispatch is out; no answer yet.
+        /// The dispatch was sent and not answered yet.
         Sent,
-        /// It waits at the side process.
+        /// The request waits in the queue of the side process.
         Accepted,
-        /// The side process has handed it to the backend server.
+        /// The side process has sent the request to the backend server.
         Started,
     };
 
@@ -30,14 +30,14 @@
     std::string backend_server;
     State state {State::Sent};
     Core::MonotonicTime sent;
-    /// Last message about this attempt, and the last time that the entry asked for one.
+    /// Times of the last message about this attempt and of the last Resume message for it.
     Core::MonotonicTime last_heard;
     Core::MonotonicTime last_resume;
-    /// The load report of the side process includes it.
+    /// Whether the side process's load reports include the attempt.
     bool is_in_load_report {false};
     bool is_revoked {false};
 
-    // The answer as far as it has come, without gaps.
+    // The answer received so far, without gaps.
     std::uint32_t chunks {0};
     std::uint32_t acknowledged {0};
     std::uint64_t payload_bytes {0};
@@ -47,17 +47,17 @@
     std::string content_type;
 };
 
-/// What adding a chunk did.
+/// Result of adding a chunk.
 enum class ChunkResult {
     Added,
-    /// It was there already.
+    /// The chunk was received before.
     Repeated,
-    /// One before it is missing.
+    /// An earlier chunk is missing.
     Gap,
 };
 
-/// A request from its arrival to its final answer: the present attempt, what came before it, and what the
-/// caller has been given. It keeps the answer whole: a caller gets chunks in order, of one attempt only.
+/// A request from its arrival to its final answer: the current attempt, the earlier ones, and what was sent to the
+/// caller. Ensures that the caller receives chunks in order and of a single attempt only.
 class RequestRun {
 public:
     RequestRun(Call call, std::shared_ptr<CallerExchange> exchange)
@@ -69,12 +69,12 @@
     [[nodiscard]] Call const& call() const { return m_call; }
     [[nodiscard]] CallerExchange& exchange() { return *m_exchange; }
 
-    /// Whether the caller keeps up, so that the side process may be told to go on.
+    /// Returns whether the caller keeps up, so that further chunks may be acknowledged.
     [[nodiscard]] bool can_caller_receive_more() const { return m_exchange->pending_bytes() < s_caller_window_bytes; }
 
     [[nodiscard]] AttemptView* attempt() { return m_attempt ? &*m_attempt : nullptr; }
     AttemptView& begin_attempt(std::string backend_server, Core::MonotonicTime now);
-    /// The present attempt is over and was not the last word.
+    /// Discards the current attempt, whose further messages are ignored.
     void drop_attempt();
     [[nodiscard]] Policy::WorkKey key() const
     {
@@ -86,36 +86,36 @@
     [[nodiscard]] std::size_t tried_count() const { return m_tried.size(); }
 
     void note_refusal(Core::Milliseconds retry_after);
-    /// Every backend server may be tried again.
-    void forget_tries() { m_tried.clear(); }
+    /// Allows every backend server to be tried again.
+    void clear_tried() { m_tried.clear(); }
     [[nodiscard]] std::optional<Core::Milliseconds> smallest_retry_after() const { return m_smallest_retry_after; }
-    /// An attempt was lost or broken off without a word that it did not run.
+    /// Records that an attempt was lost or aborted without confirmation that it did not run.
     void note_may_have_run() { m_may_have_run = true; }
     [[nodiscard]] bool may_have_run() const { return m_may_have_run; }
 
-    /// The side process that the call's ticket names has looked the ticket up: it has not run before.
+    /// Records that the side process of the call's ticket has found the ticket unused: its request has not run before.
     void note_ticket_unused() { m_is_ticket_unused = true; }
     [[nodiscard]] bool is_ticket_unused() const { return m_is_ticket_unused; }
 
-    /// Takes a chunk and hands on to the caller what may be handed on.
+    /// Adds a chunk and forwards to the caller what may be forwarded.
     [[nodiscard]] ChunkResult add_chunk(Protocol::Message::Chunk const&, Core::MonotonicTime now);
-    /// Whether what came is what the side process says it sent.
+    /// Returns whether the received answer equals what the side process sent.
     [[nodiscard]] bool is_whole(Protocol::Message::Finished const&) const;
-    /// The caller has got a part of the present attempt's answer.
+    /// Returns whether a part of the current attempt's answer was sent to the caller.
     [[nodiscard]] bool has_forwarded() const { return m_has_forwarded; }
-    /// Gives the caller the rest of a whole answer.
+    /// Sends the rest of a complete answer to the caller.
     void complete(bool is_replay);
-    /// Tells the caller that a begun answer can't be finished.
+    /// Aborts an answer that was started and can't be completed.
     void cut(ErrorAnswer const&);
-    /// Gives the caller an error as the whole answer.
+    /// Sends an error as the complete answer.
     void fail(ErrorAnswer const&);
 
     [[nodiscard]] std::optional<Core::MonotonicTime> first_token() const { return m_first_token; }
-    /// Time between the last two pieces with tokens; nothing before the second.
+    /// Returns the time between the last two chunks with tokens and clears it; nullopt before the second.
     [[nodiscard]] std::optional<Core::Microseconds> take_token_gap();
 
 private:
-    /// Bytes that a caller has not taken yet, above which it is behind.
+    /// Number of bytes not yet received by the caller above which it is considered slow.
     static constexpr std::size_t s_caller_window_bytes = 256U << 10U;
 
     void forward(std::string const& payload);
--- a/Libraries/LibEntry/RequestRuns.cpp
+++ b/Libraries/LibEntry/RequestRuns.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr Core::Milliseconds s_no_backend_retry_after {1'000};
-constexpr Core::Milliseconds s_gave_up_retry_after {1'000};
+constexpr Core::Milliseconds s_timed_out_retry_after {1'000};
 
 template <typename Chooser>
 Chooser make_chooser(RequestRuns::Settings const& settings)
@@ -58,15 +58,15 @@
     metrics_of(run).calls.add();
     if (auto const excess = m_limits.enter(run.call().workspace, now)) {
         record_decision(
-            run, Core::concat("refused: workspace ", run.call().workspace.name, " is over its limit ", excess->limit));
+            run, Core::concat("refused: workspace ", run.call().workspace.name, " exceeds its limit ", excess->limit));
         ErrorAnswer const error {429, "limit_" + excess->limit,
-            Core::concat("the workspace is over its limit ", excess->limit), Outcome::NotRun, excess->retry_after};
-        // It was never counted in, and leave() is for those that were.
+            Core::concat("the workspace exceeds its limit ", excess->limit), Outcome::NotRun, excess->retry_after};
+        // The request was not counted by enter(), so leave() must not be called for it.
         record_attainment(run, Outcome::NotRun);
-        ErrorAnswer told = error;
+        ErrorAnswer answer = error;
         if (!run.call().ticket.empty())
-            told.outcome = Outcome::Unknown;
-        run.fail(told);
+            answer.outcome = Outcome::Unknown;
+        run.fail(answer);
         m_runs.erase(id);
         return;
     }
@@ -74,8 +74,7 @@
         return dispatch_ticket(run, now);
     m_retry_budget.note_first_try();
     dispatch_or_hold(run,
-        {503, "no_backend", "no backend server of the service can be reached", Outcome::NotRun,
-            s_no_backend_retry_after},
+        {503, "no_backend", "no backend server of the service is reachable", Outcome::NotRun, s_no_backend_retry_after},
         now);
 }
 
@@ -98,7 +97,7 @@
     auto* attempt = run.attempt();
     auto* link = attempt == nullptr ? nullptr : m_links.find(attempt->backend_server);
     if (run.exchange().is_caller_gone()) {
-        record_decision(run, "the caller is gone");
+        record_decision(run, "the caller closed its connection");
         if (link != nullptr)
             revoke(*link, run);
         metrics_of(run).callers_gone.add();
@@ -106,15 +105,15 @@
     }
     if (link == nullptr)
         return;
-    bool const has_begun = attempt->state == AttemptView::State::Started;
+    bool const has_started = attempt->state == AttemptView::State::Started;
     bool const is_out_of_time
         = Core::elapsed(run.call().received, now) > run.call().request_class.give_up_after + m_settings.timeout_grace;
-    if (!has_begun && is_out_of_time)
+    if (!has_started && is_out_of_time)
         return time_out(run, now);
     if (!link->is_up()) {
         if (Core::elapsed(attempt->last_heard, now) > m_settings.stall_limit)
             retry_lost(run,
-                {504, "side_silent", "the side process that has the request is silent", Outcome::Unknown,
+                {504, "side_silent", "the side process that has the request does not respond", Outcome::Unknown,
                     s_no_backend_retry_after},
                 now);
         return;
@@ -132,10 +131,10 @@
     auto* link = m_links.find(run.attempt()->backend_server);
     if (link != nullptr)
         revoke(*link, run);
-    // No word came in time from the one process that could say that it has not run.
+    // The side process, which alone knows whether the request has run, did not answer in time.
     fail(run,
-        {504, "gave_up", "the request had not begun within its class's limit", Outcome::Unknown,
-            s_gave_up_retry_after});
+        {504, "gave_up", "the request did not start within its class's time limit", Outcome::Unknown,
+            s_timed_out_retry_after});
 }
 
 void RequestRuns::record_attainment(RequestRun& run, Outcome outcome)
@@ -204,9 +203,9 @@
                 revoke(*link, run);
         }
         if (run.has_forwarded())
-            cut(run, "stopping", "this entry stops");
+            cut(run, "stopping", "this entry is stopping");
         else
-            fail(run, {503, "stopping", "this entry stops", Outcome::Unknown, s_no_backend_retry_after});
+            fail(run, {503, "stopping", "this entry is stopping", Outcome::Unknown, s_no_backend_retry_after});
     }
 }
 
--- a/Libraries/LibEntry/RequestRuns.h
+++ b/Libraries/LibEntry/RequestRuns.h
@@ -20,54 +20,54 @@
 
 namespace GraniteField::Entry {
 
-/// The ways to choose a backend server that a setting can name.
+/// Strategies for choosing a backend server; a setting names one.
 enum class ChooserStrategy {
     PredictedWait,
     RoundRobin,
     LeastOutstanding,
 };
 
-/// All requests of an entry that have no final answer yet, and the rules by which they get one. On the
-/// router's thread only.
+/// All requests of an entry without a final answer, and the rules by which they get one. Used on the router's thread
+/// only.
 class RequestRuns {
 public:
     struct Settings {
         ChooserStrategy chooser {ChooserStrategy::PredictedWait};
-        /// What a missed prefix costs for each kilobyte of the prompt; bounds how far a warm cache may outweigh a
-        /// shorter wait.
+        /// Cost of a missed prefix for each kilobyte of the prompt; bounds the wait that is accepted for a warm cache.
         Core::Milliseconds missed_prefix_cost_per_kilobyte {5};
-        /// Side processes that a request is offered to before it is refused.
+        /// Maximum number of side processes to which a request is offered before it is refused.
         std::size_t max_tries {3};
-        /// How long a request waits here while no backend server of its service can be reached.
+        /// Maximum time for which a request waits in the entry while no backend server of its service is reachable.
         Core::Milliseconds hold_limit {2'000};
-        /// Requests that wait here at once.
+        /// Maximum number of requests that wait in the entry.
         std::size_t max_held_requests {1'000};
-        /// An attempt of which nothing is heard for this long is asked about.
+        /// Time without messages about an attempt after which a Resume message is sent.
         Core::Milliseconds resume_interval {500};
-        /// How much longer than the request's own limit the entry waits for the side process's word.
+        /// Additional time beyond the request's own limit for which the entry waits for the side process's answer.
         Core::Milliseconds timeout_grace {250};
-        /// A begun answer whose side process is silent for this long is cut.
+        /// Time without messages from the side process after which an attempt is abandoned; an answer that has started
+        /// is cut.
         Core::Milliseconds stall_limit {10'000};
     };
 
     RequestRuns(Settings, LinkSet&, Observe::MetricRegistry&, Observe::DecisionRing&, Observe::SpanExporter*);
 
-    /// Takes a call on, or gives it its final answer at once.
+    /// Accepts a call, or sends its final answer at once.
     void begin(Call, std::shared_ptr<CallerExchange>, Core::MonotonicTime now);
-    /// A message about an attempt.
+    /// Handles a message about an attempt.
     void handle(SideLink&, Protocol::Message::Envelope const&, Core::MonotonicTime now);
-    /// The link's side process is another run, or has forgotten this entry.
+    /// Handles a side process that has restarted or has forgotten this entry.
     void handle_replaced(SideLink&, Core::MonotonicTime now);
-    /// The link's side process went silent.
+    /// Handles a side process that does not respond any more.
     void handle_lost(SideLink&, Core::MonotonicTime now);
-    /// The link's side process is there again and remembers.
+    /// Handles a side process that is reachable for the first time, or again with its state kept.
     void handle_reconnected(SideLink&, Core::MonotonicTime now);
-    /// Limits in time, questions, and callers who are gone.
+    /// Enforces time limits, sends Resume messages and detects callers that have disconnected.
     void tick(Core::MonotonicTime now);
-    /// Gives every request its final answer; for the process's end.
+    /// Sends every request its final answer, for the shutdown of the process.
     void abandon_all();
 
-    /// Entries that share the workspaces' rates.
+    /// Sets the number of entries that share the workspaces' rates.
     void set_entry_count(std::size_t count) { m_limits.set_entry_count(count); }
     [[nodiscard]] std::size_t entry_count() const { return m_limits.entry_count(); }
 
@@ -77,23 +77,22 @@
     using Runs = absl::node_hash_map<Core::RequestId, RequestRun>;
 
     void issue_ticket(Call const&, CallerExchange&);
-    /// Offers the request to the best backend server that has not refused it; `otherwise` is the final
-    /// answer when there is none.
-    void dispatch(RequestRun&, ErrorAnswer otherwise, Core::MonotonicTime now);
-    /// Like dispatch(), but where the cause is that nothing can be reached, the request waits here for a
-    /// while.
-    void dispatch_or_hold(RequestRun&, ErrorAnswer otherwise, Core::MonotonicTime now);
+    /// Sends the request to the best backend server that has not refused it; `fallback` is the final answer if there is
+    /// none.
+    void dispatch(RequestRun&, ErrorAnswer fallback, Core::MonotonicTime now);
+    /// Like dispatch(), but the request waits in the entry for a limited time if no backend server is reachable.
+    void dispatch_or_hold(RequestRun&, ErrorAnswer fallback, Core::MonotonicTime now);
     [[nodiscard]] bool try_dispatch(RequestRun&, Core::MonotonicTime now);
     void dispatch_held(Core::MonotonicTime now);
     void dispatch_ticket(RequestRun&, Core::MonotonicTime now);
     [[nodiscard]] SideLink* choose(RequestRun const&);
     [[nodiscard]] bool send_dispatch(RequestRun&, SideLink&, Core::MonotonicTime now);
     void close_attempt(RequestRun&);
-    /// The present attempt did not run.
+    /// Retries after an attempt that did not run.
     void retry_unstarted(RequestRun&, ErrorAnswer, Core::MonotonicTime now);
-    /// The present attempt did not run because its side process could not be reached or leaves.
+    /// Retries after an attempt that did not run because its side process is unreachable or leaving.
     void retry_unreached(RequestRun&, ErrorAnswer, Core::MonotonicTime now);
-    /// The present attempt may have run and will bring no answer.
+    /// Retries after an attempt that may have run and will bring no answer.
     void retry_lost(RequestRun&, ErrorAnswer, Core::MonotonicTime now);
 
     void handle_accepted(SideLink&, RequestRun&, Protocol::Message::Accepted const&);
@@ -123,7 +122,7 @@
     [[nodiscard]] std::vector<Core::RequestId> runs_at(SideLink const&);
     void send_pending_revocations(SideLink&);
 
-    /// Held requests in the order in which they are sent: by tier, then by arrival.
+    /// Sort key of requests that wait in the entry: by tier, then by arrival.
     struct HeldKey {
         unsigned tier {0};
         Core::MonotonicTime received;
@@ -138,7 +137,7 @@
     LinkSet& m_links;
     Runs m_runs;
     std::map<HeldKey, ErrorAnswer> m_held;
-    /// Revocations that could not be sent, by backend server; s_max_pending_revocations at most.
+    /// Revocations that could not be sent yet, by backend server; at most s_max_pending_revocations for each.
     std::map<std::string, std::vector<Protocol::Message::Envelope>> m_pending_revocations;
     WorkspaceLimits m_limits;
     Policy::RetryBudget m_retry_budget;
