--- a/Libraries/LibEntry/Call.h
+++ b/Libraries/LibEntry/Call.h
@@ -10,15 +10,15 @@
 
 namespace GraniteField::Entry {
 
-/// What can be said of a request in the end. Each is a promise; docs/PROTOCOL.md states them.
+/// Final result of a request as stated to the caller. Each value is a promise, which docs/PROTOCOL.md specifies.
 enum class Outcome {
-    /// The whole answer, and nothing else.
+    /// The complete answer was delivered.
     Done,
-    /// No backend server began it, and none will.
+    /// No backend server started the request, and none will.
     NotRun,
-    /// It may have run, and nobody can say.
+    /// The request may have run.
     Unknown,
-    /// The answer began and can't be finished.
+    /// The answer was started and can't be completed.
     Cut,
 };
 
@@ -27,22 +27,22 @@
 enum class CallKind {
     Completion,
     PlainService,
-    /// Asks for a ticket; nothing runs.
+    /// Requests a ticket; nothing runs.
     Ticket,
 };
 
-/// A caller's request, checked and bound to the rows of the table that hold for it.
+/// A caller's request after validation, with copies of the table rows that apply to it.
 struct Call {
     Core::RequestId id;
     CallKind kind {CallKind::Completion};
     std::string method;
-    /// As the backend server sees it.
+    /// The path that is sent to the backend server.
     std::string path;
     std::string content_type;
     std::string body;
     bool is_stream {false};
     bool is_repeatable {true};
-    /// The ticket that the caller gave as its Idempotency-Key; may be empty.
+    /// The ticket from the Idempotency-Key header; may be empty.
     std::string ticket;
     Observe::TraceContext trace;
     std::string parent_span_id;
@@ -51,17 +51,17 @@
     Table::RequestClass request_class;
     Table::Workspace workspace;
     Core::TableVersion table_version;
-    /// Hash of the prompt's beginning; 0 for a plain service.
+    /// Hash of the prompt's prefix; 0 for a plain service.
     std::uint64_t prefix_hash {0};
     Core::MonotonicTime received;
 };
 
-/// A final answer that is no backend server's.
+/// A final answer that the entry generates itself.
 struct ErrorAnswer {
     int status {503};
-    /// A short name for programs, such as `queue_full`.
+    /// A short identifier for programs, such as `queue_full`.
     std::string code;
-    /// A sentence for people.
+    /// A description for people.
     std::string message;
     Outcome outcome {Outcome::NotRun};
     Core::Milliseconds retry_after {1000};
--- a/Libraries/LibEntry/CallInterpreter.cpp
+++ b/Libraries/LibEntry/CallInterpreter.cpp
@@ -17,9 +17,9 @@
 constexpr std::string_view s_completions_path = "/v1/chat/completions";
 constexpr std::string_view s_tickets_path = "/v1/tickets";
 constexpr std::string_view s_services_prefix = "/services/";
-/// So much of the first message stands for the prompt's prefix.
+/// Number of bytes of the first message that are hashed as the prompt's prefix.
 constexpr std::size_t s_prefix_bytes = 2048;
-/// Objects and arrays in a body may be nested this deep; deeper ones only serve to exhaust a stack.
+/// Maximum nesting depth of a JSON body, which protects the stack.
 constexpr int s_max_nesting = 64;
 
 ErrorAnswer bad_request(std::string code, std::string message, int status = 400)
@@ -75,12 +75,12 @@
     if (call.ticket.empty() || Side::Ticket::from_string(call.ticket))
         return std::nullopt;
     return bad_request("bad_ticket",
-        "the Idempotency-Key of a request that may not be repeated must be a ticket; POST /v1/tickets gives one");
+        "the Idempotency-Key of a request that is not repeatable must be a ticket; POST /v1/tickets returns one");
 }
 
 void bind_trace(Call& call, RawCall const& raw)
 {
-    // A header that is not valid is ignored, as W3C Trace Context, section 3.2.2.5, asks.
+    // An invalid header is ignored, as W3C Trace Context, section 3.2.2.5, requires.
     auto const caller_context = Observe::TraceContext::from_header(header(raw, "traceparent").value_or(""));
     if (!caller_context) {
         call.trace = Observe::TraceContext::make(true);
@@ -94,7 +94,7 @@
 {
     auto const check_depth = [](int depth, Json::parse_event_t, Json&) {
         if (depth > s_max_nesting)
-            throw std::length_error("the body is nested too deep");
+            throw std::length_error("the body is nested too deeply");
         return true;
     };
     try {
@@ -122,7 +122,7 @@
 {
     call.kind = CallKind::Completion;
     if (call.method != "POST")
-        return bad_request("bad_method", "completions are asked for with POST", 405);
+        return bad_request("bad_method", "completions must be requested with POST", 405);
     auto parsed = parse_object(call.body);
     if (auto* error = std::get_if<ErrorAnswer>(&parsed))
         return *error;
@@ -130,7 +130,7 @@
     if (!json.contains("model") || !json["model"].is_string())
         return bad_request("bad_model", "/model: must be a string");
     if (!json.contains("messages") || !json["messages"].is_array() || json["messages"].empty())
-        return bad_request("bad_messages", "/messages: must be an array that is not empty");
+        return bad_request("bad_messages", "/messages: must be a non-empty array");
     if (json.contains("stream") && !json["stream"].is_boolean())
         return bad_request("bad_stream", "/stream: must be true or false");
     auto const& model = json["model"].get_ref<std::string const&>();
@@ -163,7 +163,7 @@
 {
     call.kind = CallKind::Ticket;
     if (call.method != "POST")
-        return bad_request("bad_method", "tickets are asked for with POST", 405);
+        return bad_request("bad_method", "tickets must be requested with POST", 405);
     auto parsed = parse_object(call.body);
     if (auto* error = std::get_if<ErrorAnswer>(&parsed))
         return *error;
@@ -187,7 +187,7 @@
         return bind_ticket(call, table);
     if (path.starts_with(s_services_prefix))
         return bind_service(call, target, table);
-    return bad_request("not_found", Core::concat("there is nothing at ", path), 404);
+    return bad_request("not_found", Core::concat("there is no resource at ", path), 404);
 }
 
 }
@@ -227,7 +227,7 @@
         {"request", request.to_string()}};
     if (error.retry_after.count() > 0)
         details["retry_after_ms"] = error.retry_after.count();
-    // What the caller sent may stand in the message and need not be valid UTF-8.
+    // The message may quote the caller's input, which need not be valid UTF-8.
     return Json {{"error", details}}.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
--- a/Libraries/LibEntry/CallInterpreter.h
+++ b/Libraries/LibEntry/CallInterpreter.h
@@ -9,24 +9,24 @@
 
 namespace GraniteField::Entry {
 
-/// A caller's HTTP request before it is understood.
+/// A caller's HTTP request before validation.
 struct RawCall {
     std::string method;
-    /// Path and query as they came, still percent-encoded.
+    /// Path and query as received, percent-encoded.
     std::string target;
     HTTP::Headers headers;
     std::string body;
 };
 
-/// Makes a call of an HTTP request, or says what is wrong with it. Reads only the table; no state, so any
-/// thread may use it.
+/// Converts an HTTP request to a call, or returns the error to answer with. Reads only the table and keeps no state, so
+/// it is thread-safe.
 [[nodiscard]] std::variant<Call, ErrorAnswer> interpret_call(
     RawCall, Table::Table const&, Core::RequestId, Core::MonotonicTime now);
 
-/// The JSON body of an error answer.
+/// Returns the JSON body of an error answer.
 [[nodiscard]] std::string encode_error(ErrorAnswer const&, Core::RequestId);
 
-/// Seconds for the header Retry-After: never less than what is meant, and at least one.
+/// Returns the value of the Retry-After header: the duration rounded up to whole seconds, and at least one.
 [[nodiscard]] std::int64_t retry_after_seconds(Core::Milliseconds);
 
 }
--- a/Libraries/LibEntry/CallerExchange.cpp
+++ b/Libraries/LibEntry/CallerExchange.cpp
@@ -15,9 +15,9 @@
 constexpr char const* s_request_header = "Granitefield-Request";
 constexpr char const* s_outcome_header = "Granitefield-Outcome";
 constexpr char const* s_replay_header = "Granitefield-Replayed";
-/// libmicrohttpd asks for at most this much of a stream at once.
+/// Maximum number of bytes of a stream that libmicrohttpd requests at once.
 constexpr std::size_t s_block_bytes = 32'768;
-/// What the caller has taken is cut off the front when it grows beyond this.
+/// Number of consumed bytes above which they are erased from the buffer.
 constexpr std::size_t s_compaction_bytes = 65'536;
 
 }
@@ -106,8 +106,8 @@
     std::lock_guard const lock(m_mutex);
     if (m_is_gone)
         return true;
-    // libmicrohttpd does not watch a suspended connection. While it is suspended, its descriptor is
-    // certain to be open and its own, so that it can be asked here.
+    // libmicrohttpd does not poll a suspended connection, so the descriptor is checked here. It is open and belongs to
+    // this connection as long as the connection is suspended.
     if (!m_is_suspended || m_connection == nullptr)
         return false;
     char byte = 0;
@@ -151,7 +151,7 @@
 {
     m_stream_response = MHD_create_response_from_callback(MHD_SIZE_UNKNOWN, s_block_bytes, read_stream, this, nullptr);
     add_common_headers(m_stream_response, m_answer, m_request);
-    // RFC 9110, section 6.6.2: announces the trailer that says how the answer ended.
+    // RFC 9110, section 6.6.2: announces the trailer with the outcome of the answer.
     MHD_add_response_header(m_stream_response, "Trailer", s_outcome_header);
     MHD_add_response_header(m_stream_response, MHD_HTTP_HEADER_CACHE_CONTROL, "no-store");
     auto const result = MHD_queue_response(m_connection, static_cast<unsigned>(m_answer.status), m_stream_response);
--- a/Libraries/LibEntry/CallerExchange.h
+++ b/Libraries/LibEntry/CallerExchange.h
@@ -12,7 +12,7 @@
 
 namespace GraniteField::Entry {
 
-/// A whole answer, to be given in one piece.
+/// A complete answer that is sent at once.
 struct FullAnswer {
     int status {200};
     std::string content_type;
@@ -22,15 +22,14 @@
     bool is_replay {false};
 };
 
-/// An error as a whole answer.
+/// Returns an error as a complete answer.
 [[nodiscard]] FullAnswer make_error_answer(ErrorAnswer const&, Core::RequestId);
 
-/// The HTTP response for a whole answer. The caller destroys it.
+/// Returns the HTTP response for a complete answer. The calling function destroys it.
 [[nodiscard]] MHD_Response* make_response(FullAnswer const&, Core::RequestId);
 
-/// The answer to one caller, between the router's thread, which writes it, and the HTTP server's threads,
-/// which hand it on. While there is nothing to hand on, the caller's connection is suspended and costs no
-/// thread.
+/// The answer to one caller. The router's thread writes it and the HTTP server's threads send it. The caller's
+/// connection is suspended and occupies no thread while there is nothing to send.
 class CallerExchange {
 public:
     CallerExchange(Core::RequestId request, MHD_Connection* connection, int descriptor)
@@ -44,31 +43,30 @@
 
     [[nodiscard]] Core::RequestId request() const { return m_request; }
 
-    // For the router.
+    // Interface for the router.
 
-    /// Gives the whole answer. Only before begin_stream().
+    /// Sends a complete answer. Must not follow begin_stream().
     void answer(FullAnswer);
-    /// Begins an answer of which more follows.
+    /// Starts an answer whose body follows with append().
     void begin_stream(int status, std::string content_type);
     void append(std::string_view);
-    /// The answer is whole.
+    /// Completes a streamed answer.
     void finish();
-    /// The answer ends here though it is not whole: after `last_bytes` the connection is closed without
-    /// the end that HTTP gives a whole answer.
+    /// Aborts a streamed answer: closes the connection after `last_bytes`, without the end of a complete HTTP message.
     void cut(std::string_view last_bytes);
-    /// Bytes that the caller has not taken yet.
+    /// Returns the number of bytes that the caller has not received yet.
     [[nodiscard]] std::size_t pending_bytes() const;
-    /// Whether the caller has closed its connection.
+    /// Returns whether the caller has closed its connection.
     [[nodiscard]] bool is_caller_gone() const;
 
-    // For the HTTP server.
+    // Interface for the HTTP server.
 
     /// Suspends the connection until there is an answer.
     void suspend();
     [[nodiscard]] bool has_answer() const;
     /// Queues the response for the connection.
     MHD_Result respond();
-    /// The connection is over; `is_complete` when all of the answer was sent.
+    /// Detaches the connection, which has ended; `is_complete` states whether the complete answer was sent.
     void detach(bool is_complete);
 
 private:
--- a/Libraries/LibEntry/CallerServer.cpp
+++ b/Libraries/LibEntry/CallerServer.cpp
@@ -13,13 +13,13 @@
 
 namespace {
 
-/// Room for a connection's request line and headers; a request with more is refused with status 431.
+/// Memory for a connection's request line and headers; a larger request is rejected with status 431.
 constexpr std::size_t s_connection_memory_bytes = 32'768;
 constexpr Core::Milliseconds s_busy_retry_after {1'000};
 
 }
 
-/// What is known of the request that a connection carries at the moment.
+/// The request that a connection is receiving or waiting for.
 struct CallerServer::Connection {
     std::string target;
     bool has_headers {false};
@@ -88,7 +88,7 @@
     try {
         return static_cast<CallerServer*>(server)->handle(mhd_connection, method, upload, *upload_size, connection);
     } catch (std::exception const& error) {
-        LOG(ERROR) << "callers: a request failed: " << error.what();
+        LOG(ERROR) << "callers: handling a request failed: " << error.what();
         return MHD_NO;
     }
 }
@@ -96,7 +96,7 @@
 MHD_Result CallerServer::handle(MHD_Connection* mhd_connection, char const* method, char const* upload,
     std::size_t& upload_size, Connection& connection)
 {
-    // The first call has the headers only; the body comes with the next ones.
+    // libmicrohttpd passes only the headers with the first call; the body follows with further calls.
     if (!connection.has_headers) {
         connection.has_headers = true;
         return MHD_YES;
@@ -119,19 +119,19 @@
     Core::RequestId const id {m_incarnation.value(), m_next_sequence.fetch_add(1)};
     if (connection.is_body_too_large)
         return refuse(mhd_connection,
-            {413, "body_too_large", "the body is larger than this entry takes", Outcome::NotRun, Core::Milliseconds(0)},
+            {413, "body_too_large", "the body exceeds the limit of this entry", Outcome::NotRun, Core::Milliseconds(0)},
             id);
     auto const table = m_table.current();
     if (!table)
-        return refuse(
-            mhd_connection, {503, "no_table", "this entry has no table yet", Outcome::NotRun, s_busy_retry_after}, id);
+        return refuse(mhd_connection,
+            {503, "no_table", "this entry has not received a table yet", Outcome::NotRun, s_busy_retry_after}, id);
     RawCall raw {method, std::move(connection.target), HTTP::collect_values(mhd_connection, MHD_HEADER_KIND),
         std::move(connection.body)};
     auto const key = raw.headers.find("idempotency-key");
     bool const has_ticket = key != raw.headers.end() && Side::Ticket::looks_like_ticket(key->second);
     auto interpreted = interpret_call(std::move(raw), *table, id, Core::monotonic_now());
     if (auto* error = std::get_if<ErrorAnswer>(&interpreted)) {
-        // An earlier use of the ticket may have run; only its side process can say.
+        // An earlier request with the ticket may have run; only its side process knows.
         if (has_ticket)
             error->outcome = Outcome::Unknown;
         m_metrics.counter("granitefield_entry_rejected_total", {{"code", error->code}}).add();
@@ -145,7 +145,7 @@
     connection.exchange->suspend();
     if (m_router.try_submit(submission))
         return MHD_YES;
-    ErrorAnswer const error {503, "entry_busy", "this entry has too many requests to take in",
+    ErrorAnswer const error {503, "entry_busy", "this entry has too many requests waiting to be admitted",
         is_earlier_use_unknown ? Outcome::Unknown : Outcome::NotRun, s_busy_retry_after};
     connection.exchange->answer(make_error_answer(error, id));
     return MHD_YES;
--- a/Libraries/LibEntry/CallerServer.h
+++ b/Libraries/LibEntry/CallerServer.h
@@ -14,8 +14,8 @@
 
 namespace GraniteField::Entry {
 
-/// The HTTP server that callers talk to: a few threads with epoll for any number of connections. It checks
-/// requests and hands them to the router; a connection that waits for its answer is suspended.
+/// HTTP server for callers; a few threads with epoll serve all connections. Validates requests and passes them to the
+/// router; a connection that waits for its answer is suspended.
 class CallerServer {
 public:
     struct Settings {
@@ -23,7 +23,7 @@
         unsigned threads {4};
         unsigned max_connections {20'000};
         std::size_t max_body_bytes {4U << 20U};
-        /// A connection on which nothing moves for this long is closed.
+        /// Time without traffic after which a connection is closed.
         std::chrono::seconds idle_timeout {60};
     };
 
@@ -33,7 +33,7 @@
     CallerServer& operator=(CallerServer const&) = delete;
 
     [[nodiscard]] std::uint16_t port() const;
-    /// Takes no new connections and asks the ones there are to close after their answer.
+    /// Accepts no further connections and asks the callers of open ones to close after their answer.
     void stop_listening();
 
 private:
--- a/Libraries/LibEntry/ClassMetrics.h
+++ b/Libraries/LibEntry/ClassMetrics.h
@@ -6,7 +6,7 @@
 
 namespace GraniteField::Entry {
 
-/// The metrics of one request class, found once, since some are counted for every token.
+/// Metrics of one request class, looked up once since some are updated for every token.
 struct ClassMetrics {
     ClassMetrics(Observe::MetricRegistry& metrics, std::string const& request_class)
         : calls(metrics.counter("granitefield_entry_calls_total", {{"class", request_class}}))
--- a/Libraries/LibEntry/WorkspaceLimits.cpp
+++ b/Libraries/LibEntry/WorkspaceLimits.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// A rate may be used up for this long at once.
+/// Time for which unused rate accumulates, in seconds.
 constexpr double s_burst_seconds = 1;
 constexpr Core::Milliseconds s_concurrency_retry_after {1000};
 
@@ -51,7 +51,7 @@
             return Excess {"requests-per-second", wait};
     }
     if (workspace.tokens_per_second != 0) {
-        // An answer's length is not known in advance: a request may start while the account is not in debt.
+        // The length of an answer is not known in advance, so a request may start as long as the bucket is not in debt.
         auto const wait = usage.tokens.wait_for(1, now);
         if (wait.count() > 0)
             return Excess {"tokens-per-second", wait};
--- a/Libraries/LibEntry/WorkspaceLimits.h
+++ b/Libraries/LibEntry/WorkspaceLimits.h
@@ -11,30 +11,30 @@
 
 namespace GraniteField::Entry {
 
-/// What one entry lets each workspace use: open requests, requests a second and generated tokens a second.
+/// Limits of each workspace on one entry: open requests, requests per second and generated tokens per second.
 ///
-/// The rates of the table hold for the fleet. Each entry takes its share of them, which is one part in the
+/// The rates in the table apply to the whole fleet. Each entry enforces its share, which is the rate divided by the
 /// number of entries.
 class WorkspaceLimits {
 public:
-    /// Why a request is over a limit.
+    /// The limit that a request exceeds.
     struct Excess {
         std::string limit;
         Core::Milliseconds retry_after {0};
     };
 
-    /// The workspaces that are tracked at once; idle ones give way.
+    /// Maximum number of workspaces that are tracked; above it, idle ones are removed.
     static constexpr std::size_t s_max_workspaces = 20'000;
 
     void set_entry_count(std::size_t count) { m_entry_count = count == 0 ? 1 : count; }
 
     [[nodiscard]] std::size_t entry_count() const { return m_entry_count; }
 
-    /// Counts a request in, or says which limit forbids it.
+    /// Counts a request as open, or returns the limit that it exceeds.
     [[nodiscard]] std::optional<Excess> enter(Table::Workspace const&, Core::MonotonicTime now);
-    /// The request is over.
+    /// Ends a request that enter() counted.
     void leave(Table::Workspace const&);
-    /// Tokens that were generated for the workspace.
+    /// Charges tokens that were generated for the workspace.
     void charge_tokens(Table::Workspace const&, std::uint32_t tokens, Core::MonotonicTime now);
 
 private:
