--- a/Libraries/LibEntry/HostFollower.cpp
+++ b/Libraries/LibEntry/HostFollower.cpp
@@ -59,16 +59,17 @@
             if (server.state == Table::BackendServerState::Leaving)
                 leaving.push_back(std::move(server));
         } catch (std::exception const& error) {
-            LOG(ERROR) << "hosts: the entry of " << object.name << " can't be read: " << error.what();
+            LOG(ERROR) << "hosts: the backend server " << object.name
+                       << " in the platform's store is invalid: " << error.what();
         }
     }
     for (auto const& server : leaving) {
         drains.hosts.insert(server.address.to_string());
-        // Where a host has one backend server, its side process leaves with it.
+        // A host's only backend server leaves together with the host's side process.
         if (servers_by_host[server.address.host()] == 1)
             drains.hosts.insert(server.address.host());
     }
-    // The store's revision rises with every change of anything; only another content is news.
+    // The store's revision changes with any object, so only a different set of hosts counts as an update.
     if (drains.hosts == m_drains.current().hosts)
         return;
     if (m_drains.offer(std::move(drains)))
--- a/Libraries/LibEntry/HostFollower.h
+++ b/Libraries/LibEntry/HostFollower.h
@@ -11,12 +11,12 @@
 
 namespace GraniteField::Entry {
 
-/// Reads the list of backend servers in the platform's store now and then, for those that are leaving, on a thread of
-/// its own, in the entries that watch the platform. The list lags; a side process's own word and the data path are
-/// heard before it.
+/// Periodically reads the list of backend servers from the platform's store to find those that are leaving. Runs on its
+/// own thread, in the entries that watch the platform. The list lags behind: a side process's own announcement and
+/// failures of requests are noticed earlier.
 class HostFollower {
 public:
-    /// `on_update` is called on this thread when there is a newer list.
+    /// Calls `on_update` on its thread when the list has changed.
     HostFollower(PlatformSettings const&, SharedDrains&, PeerExchange&, std::function<void()> on_update,
         Observe::MetricRegistry&);
     ~HostFollower();
--- a/Libraries/LibEntry/LinkSet.cpp
+++ b/Libraries/LibEntry/LinkSet.cpp
@@ -7,37 +7,37 @@
 
 namespace GraniteField::Entry {
 
-std::vector<Table::BackendServer const*> LinkSet::chosen_rows(Table::Table const& table) const
+std::vector<Table::BackendServer const*> LinkSet::selected_rows(Table::Table const& table) const
 {
     std::map<std::string, std::vector<Table::BackendServer const*>> by_service;
     for (auto const& [name, row] : table.backend_servers())
         by_service[row.service].push_back(&row);
     auto const seed = Core::hash_bytes(m_settings.link.entry_name);
-    std::vector<Table::BackendServer const*> chosen;
+    std::vector<Table::BackendServer const*> selected;
     for (auto& [service, rows] : by_service) {
         std::ranges::sort(rows, std::greater(), [seed](auto const* row) { return Core::hash_bytes(row->name, seed); });
         rows.resize(std::min(rows.size(), m_settings.links_per_service));
-        chosen.insert(chosen.end(), rows.begin(), rows.end());
+        selected.insert(selected.end(), rows.begin(), rows.end());
     }
-    return chosen;
+    return selected;
 }
 
 void LinkSet::follow(Table::Table const& table)
 {
-    auto const rows = chosen_rows(table);
+    auto const rows = selected_rows(table);
     std::set<std::string> names;
     for (auto const* row : rows) {
         names.insert(row->name);
         auto const found = m_links.find(row->name);
-        bool const is_same_place = found != m_links.end()
+        bool const is_unmoved = found != m_links.end()
             && found->second->backend_server().side_address == row->side_address
             && found->second->backend_server().service == row->service;
-        if (is_same_place) {
+        if (is_unmoved) {
             found->second->set_backend_server(*row);
             found->second->set_removed(false);
             continue;
         }
-        // A row that moved while attempts are open keeps its old link until they are over.
+        // A backend server whose address or service changed keeps its old link until the open attempts have ended.
         if (found != m_links.end() && found->second->view().open > 0) {
             found->second->set_removed(true);
             continue;
@@ -63,7 +63,7 @@
     for (auto const& [name, link] : m_links) {
         auto const& text = link->backend_server().side_address;
         auto const address = Core::Address::from_string(text);
-        // A host is listed by its number alone, or with the port where several stand on one number.
+        // The list names a host by its IP address, or by address and port if several backend servers share the address.
         bool const is_leaving
             = m_leaving_hosts.contains(text) || (address && m_leaving_hosts.contains(address->host()));
         link->set_listed_as_leaving(is_leaving);
--- a/Libraries/LibEntry/LinkSet.h
+++ b/Libraries/LibEntry/LinkSet.h
@@ -14,13 +14,13 @@
 
 namespace GraniteField::Entry {
 
-/// All links of an entry: follows the table's backend servers and the host list.
+/// The links of an entry to side processes. Follows the table's backend servers and the host list.
 class LinkSet {
 public:
     struct Settings {
         SideLink::Settings link;
-        /// Links to one service; where it has more backend servers, the entry takes those that come first
-        /// in a rendezvous hash of its name, so that all entries together cover all of them.
+        /// Maximum number of links to one service. If it has more backend servers, the entry selects the first in a
+        /// rendezvous hash of its name, so that all entries together cover all backend servers.
         std::size_t links_per_service {64};
     };
 
@@ -30,23 +30,24 @@
     {
     }
 
-    /// Links to the table's backend servers. A link whose row is gone stays until it has no open attempts.
+    /// Opens and removes links according to the table's backend servers. A link without a row remains until its
+    /// attempts have ended.
     void follow(Table::Table const&);
-    /// Hosts (IP numbers) that are leaving by the platform's list.
+    /// Sets the hosts (IP addresses) that are leaving according to the platform's list.
     void set_leaving_hosts(std::set<std::string>);
-    /// Closes links that are removed and have nothing open, and says whether there were any.
+    /// Closes removed links without open attempts and returns whether there were any.
     bool close_removed();
 
     [[nodiscard]] SideLink* find(std::string const& backend_server);
-    /// The links of a service that may get new work.
+    /// Returns the links of a service that accept new requests.
     [[nodiscard]] std::vector<SideLink*> available(std::string const& service);
     [[nodiscard]] bool has_service(std::string const& service) const;
     [[nodiscard]] std::map<std::string, std::unique_ptr<SideLink>> const& all() const { return m_links; }
-    /// Changes whenever a link comes or goes, for the poll list.
+    /// Changes when a link is added or closed, so that the poll list can be rebuilt.
     [[nodiscard]] std::uint64_t generation() const { return m_generation; }
 
 private:
-    [[nodiscard]] std::vector<Table::BackendServer const*> chosen_rows(Table::Table const&) const;
+    [[nodiscard]] std::vector<Table::BackendServer const*> selected_rows(Table::Table const&) const;
     void apply_leaving_hosts();
 
     zmq::context_t& m_context;
--- a/Libraries/LibEntry/Router.cpp
+++ b/Libraries/LibEntry/Router.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr Core::Milliseconds s_tick_interval {50};
-/// How long an operator's request waits for the router before it gets the last status.
+/// Time for which an operator's request waits for a new status before it gets the previous one.
 constexpr Core::Milliseconds s_status_timeout {1'000};
-/// Calls and messages of one link that are taken in one turn before the others have theirs.
+/// Maximum number of calls, and of messages of one link, that are handled before other work.
 constexpr int s_max_submissions_per_iteration = 1'000;
 constexpr int s_max_messages_per_iteration = 2'000;
 
@@ -51,7 +51,7 @@
 
 std::string Router::status()
 {
-    // Made when it is asked for: with hundreds of links it costs more than all else that an idle entry does.
+    // The status is built on demand only: with hundreds of links it costs more than all other work of an idle entry.
     std::unique_lock lock(m_mutex);
     auto const seen = m_status_count;
     m_is_status_wanted = true;
@@ -64,8 +64,8 @@
 {
     while (!m_should_stop) {
         wait_for_work();
-        // Messages come before the clock, so that a pause of this process itself is not taken for the
-        // silence of others.
+        // Messages are handled before the clock is checked, so that a stall of this process is not mistaken for silence
+        // of the side processes.
         receive_messages();
         follow_table();
         receive_submissions();
@@ -98,7 +98,7 @@
             return;
         m_runs.begin(std::move(submission->call), std::move(submission->exchange), Core::monotonic_now());
     }
-    // What is left is taken in the next turn, without a wait.
+    // The next iteration handles the rest without waiting.
     m_wake.signal();
 }
 
@@ -147,7 +147,7 @@
         return;
     m_links.follow(*table);
     m_followed_version = table->version();
-    LOG(INFO) << "entry: table version " << table->version().value() << " is in force";
+    LOG(INFO) << "entry: table version " << table->version().value() << " has taken effect";
     m_metrics.gauge("granitefield_table_version").set(static_cast<std::int64_t>(table->version().value()));
 }
 
@@ -161,7 +161,7 @@
         apply(*link, link->tick(time));
     m_runs.set_entry_count(std::max(m_min_entry_count, m_membership.other_entries + 1));
     m_runs.tick(time);
-    // A row that moved gets its new link once the old one is closed.
+    // A backend server whose address changed gets its new link once the old one is closed.
     if (m_links.close_removed())
         m_followed_version.reset();
     m_has_backends = std::ranges::any_of(m_links.all(), [](auto const& item) { return item.second->is_available(); });
--- a/Libraries/LibEntry/Router.h
+++ b/Libraries/LibEntry/Router.h
@@ -21,7 +21,7 @@
 
 namespace GraniteField::Entry {
 
-/// The entry's routing thread: takes calls from the HTTP server over a bounded ring, talks to the side
+/// The entry's routing thread: receives calls from the HTTP server through a bounded ring, communicates with the side
 /// processes, and follows the table.
 class Router {
 public:
@@ -29,7 +29,7 @@
         LinkSet::Settings links;
         RequestRuns::Settings runs;
         std::size_t ring_capacity {8192};
-        /// Entries that share the workspaces' rates, also while fewer are known.
+        /// Minimum number of entries assumed to share the workspaces' rates, also while fewer are known.
         std::size_t min_entry_count {1};
     };
 
@@ -44,16 +44,16 @@
         std::shared_ptr<CallerExchange> exchange;
     };
 
-    /// Hands a call to the router; false when its ring is full, and then nothing was taken. Any thread.
+    /// Passes a call to the router; returns false, leaving the submission untouched, if the ring is full. Thread-safe.
     [[nodiscard]] bool try_submit(std::unique_ptr<Submission>&);
-    /// Looks at the table and the host list again soon. Any thread.
+    /// Makes the router check the table and the host list. Thread-safe.
     void wake() { m_wake.signal(); }
 
-    /// Requests without a final answer. Any thread.
+    /// Returns the number of requests without a final answer. Thread-safe.
     [[nodiscard]] std::size_t open_count() const { return m_open_count; }
-    /// Whether at least one side process can be reached. Any thread.
+    /// Returns whether at least one side process accepts new requests. Thread-safe.
     [[nodiscard]] bool has_backends() const { return m_has_backends; }
-    /// What an operator sees, as JSON. Any thread.
+    /// Returns the status for operators, as JSON. Thread-safe.
     [[nodiscard]] std::string status();
 
 private:
--- a/Libraries/LibEntry/SideLink.cpp
+++ b/Libraries/LibEntry/SideLink.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr char const* s_log_prefix = "link: ";
-/// How often a side process that does not answer is greeted.
+/// Interval between Hello messages to a side process that does not answer.
 constexpr Core::Milliseconds s_hello_interval {200};
 constexpr int s_reconnect_milliseconds = 50;
 constexpr int s_max_reconnect_milliseconds = 1'000;
@@ -43,7 +43,7 @@
     m_socket.set(zmq::sockopt::sndhwm, Protocol::s_high_water_mark);
     m_socket.set(zmq::sockopt::rcvhwm, Protocol::s_high_water_mark);
     m_socket.set(zmq::sockopt::maxmsgsize, Protocol::s_largest_message_bytes);
-    // Without a connection a send fails at once, so that nothing is written for a process that is not there.
+    // A send without a connection fails at once, so that no message is queued for a process that is not running.
     m_socket.set(zmq::sockopt::immediate, true);
     m_socket.set(zmq::sockopt::reconnect_ivl, s_reconnect_milliseconds);
     m_socket.set(zmq::sockopt::reconnect_ivl_max, s_max_reconnect_milliseconds);
@@ -123,10 +123,10 @@
     if (m_reply_pending_since && Core::elapsed(*m_reply_pending_since, now) >= m_settings.silence_timeout) {
         m_is_up = false;
         m_is_welcomed = false;
-        LOG(WARNING) << s_log_prefix << m_backend_server.name << " is silent; it gets no new work";
+        LOG(WARNING) << s_log_prefix << m_backend_server.name << " does not respond; it gets no new requests";
         return Change::Lost;
     }
-    // Traffic stands for heartbeats in both directions: the side process forgets an entry that says nothing.
+    // Any traffic counts as a heartbeat in both directions: the side process forgets an entry that sends nothing.
     if (std::exchange(m_has_sent, false))
         m_last_sent = now;
     bool const is_idle = Core::elapsed(m_last_sent, now) >= m_settings.heartbeat
@@ -171,8 +171,8 @@
 {
     m_refused_version.reset();
     if (welcome.backend_server() != m_backend_server.name || welcome.service() != m_backend_server.service) {
-        // Two rows with their addresses exchanged would otherwise send work to the wrong service.
-        LOG_EVERY_N(ERROR, 50) << s_log_prefix << "at " << m_backend_server.side_address << " stands "
+        // If the addresses of two rows were exchanged, requests would otherwise reach the wrong service.
+        LOG_EVERY_N(ERROR, 50) << s_log_prefix << "the side process at " << m_backend_server.side_address << " serves "
                                << welcome.backend_server() << " of " << welcome.service() << ", not "
                                << m_backend_server.name << " of " << m_backend_server.service;
         return Change::None;
