--- a/Libraries/LibEntry/SideLink.cpp
+++ b/Libraries/LibEntry/SideLink.cpp
@@ -172,7 +172,7 @@
     m_refused_version.reset();
     if (welcome.backend_server() != m_backend_server.name || welcome.service() != m_backend_server.service) {
         // If the addresses of two rows were exchanged, requests would otherwise reach the wrong service.
-        LOG_EVERY_N(ERROR, 50) << s_log_prefix << "the side process at " << m_backend_server.side_address << " serves "
+        LOG_EVERY_N(ERROR, 50) << s_log_prefix << "at " << m_backend_server.side_address << " runs the side process of "
                                << welcome.backend_server() << " of " << welcome.service() << ", not "
                                << m_backend_server.name << " of " << m_backend_server.service;
         return Change::None;
