--- a/Libraries/LibCluster/FleetClock.cpp
+++ b/Libraries/LibCluster/FleetClock.cpp
@@ -20,11 +20,11 @@
 {
     std::vector<std::pair<Offset, unsigned>> offsets;
     unsigned hosts = 0;
-    for (auto const& [id, source] : m_readings) {
-        if (!accepts(source) || Core::elapsed(source.received, now) > s_reading_lifetime)
+    for (auto const& [id, reading] : m_readings) {
+        if (!accepts(reading) || Core::elapsed(reading.received, now) > s_reading_lifetime)
             continue;
-        offsets.emplace_back(source.offset, source.hosts);
-        hosts += source.hosts;
+        offsets.emplace_back(reading.offset, reading.hosts);
+        hosts += reading.hosts;
     }
     if (offsets.empty())
         return std::nullopt;
@@ -58,7 +58,7 @@
 
 void FleetClock::adopt(Offset offset, unsigned hosts, Core::MonotonicTime now)
 {
-    bool const is_settling = !m_agreed || Core::elapsed(m_begun, now) <= s_settling_time;
+    bool const is_settling = !m_agreed || Core::elapsed(m_started, now) <= s_settling_time;
     bool const has_majority = hosts >= m_agreed_hosts * s_majority_factor;
     if (is_settling || has_majority || std::chrono::abs(offset - *m_agreed) <= s_max_latency_error) {
         m_agreed = offset;
--- a/Libraries/LibCluster/FleetClock.h
+++ b/Libraries/LibCluster/FleetClock.h
@@ -43,8 +43,8 @@
         Source source {Source::Host};
     };
 
-    explicit FleetClock(Core::MonotonicTime begun)
-        : m_begun(begun)
+    explicit FleetClock(Core::MonotonicTime started)
+        : m_started(started)
     {
     }
 
@@ -75,7 +75,7 @@
     static Offset offset_of(WallTime time, Core::MonotonicTime now);
     void adopt(Offset, unsigned hosts, Core::MonotonicTime now);
 
-    Core::MonotonicTime m_begun;
+    Core::MonotonicTime m_started;
     std::map<std::uint64_t, KnownReading> m_readings;
     std::optional<Offset> m_agreed;
     /// Largest number of hosts that have agreed on the offset.
--- a/Libraries/LibCluster/SharedDuty.cpp
+++ b/Libraries/LibCluster/SharedDuty.cpp
@@ -14,18 +14,18 @@
 
 }
 
-SharedDuty::SharedDuty(UsageSettings settings, std::uint64_t self, Core::MonotonicTime begun)
+SharedDuty::SharedDuty(UsageSettings settings, std::uint64_t self, Core::MonotonicTime started)
     : m_settings(settings)
     , m_self(self)
-    , m_clock(begun)
+    , m_clock(started)
     , m_ledger(self)
 {
 }
 
-void SharedDuty::count(std::string const& workspace, Core::MonotonicTime begun)
+void SharedDuty::count(std::string const& workspace, Core::MonotonicTime started)
 {
     std::lock_guard const lock(m_mutex);
-    if (auto const time = m_clock.at(begun))
+    if (auto const time = m_clock.at(started))
         m_ledger.count(window_at(*time, m_settings.window), workspace);
 }
 
--- a/Libraries/LibCluster/SharedDuty.h
+++ b/Libraries/LibCluster/SharedDuty.h
@@ -33,10 +33,10 @@
 class SharedDuty {
 public:
     /// `self` is the gateway's incarnation.
-    SharedDuty(UsageSettings, std::uint64_t self, Core::MonotonicTime begun);
+    SharedDuty(UsageSettings, std::uint64_t self, Core::MonotonicTime started);
 
     /// Counts a request of the workspace that started to run at the given time.
-    void count(std::string const& workspace, Core::MonotonicTime begun);
+    void count(std::string const& workspace, Core::MonotonicTime started);
 
     // For the exchange with other gateways.
 
--- a/Libraries/LibCluster/UsageReporter.h
+++ b/Libraries/LibCluster/UsageReporter.h
@@ -298,7 +298,7 @@
         m_log.write(Observe::LogEvent("duty-released").add("token", token).add("reason", reason));
     }
 
-    /// Removes reports that are late; the recipient ignores them.
+    /// Removes reports that are past their deadline, after which they are of no use.
     void drop_late_reports(Core::MonotonicTime now)
     {
         std::erase_if(m_known->record.reports, [&](auto const& recorded) {
--- a/Libraries/LibEntry/LinkSet.cpp
+++ b/Libraries/LibEntry/LinkSet.cpp
@@ -29,10 +29,10 @@
     for (auto const* row : rows) {
         names.insert(row->name);
         auto const found = m_links.find(row->name);
-        bool const is_unmoved = found != m_links.end()
+        bool const is_same_endpoint = found != m_links.end()
             && found->second->backend_server().side_address == row->side_address
             && found->second->backend_server().service == row->service;
-        if (is_unmoved) {
+        if (is_same_endpoint) {
             found->second->set_backend_server(*row);
             found->second->set_removed(false);
             continue;
--- a/Tests/LibCluster/UsageLedgerTest.cpp
+++ b/Tests/LibCluster/UsageLedgerTest.cpp
@@ -117,7 +117,7 @@
 {
     Core::MonotonicTime now {1h};
     WallTime const time {1'000'000h};
-    auto const truth = [&, begun = now] { return time + Core::elapsed(begun, now); };
+    auto const truth = [&, started = now] { return time + Core::elapsed(started, now); };
     FleetClock clock(now);
     auto const play = [&](Core::Milliseconds duration, Core::Milliseconds error) {
         for (auto const end = now + duration; now < end; now += 100ms) {
