--- a/Libraries/LibGateway/GatewayRun.h
+++ b/Libraries/LibGateway/GatewayRun.h
@@ -4,11 +4,11 @@
 #include <LibGateway/BackendAttempt.h>
 #include <LibGateway/BackendFleet.h>
 #include <LibGateway/CallerConnection.h>
-#include <LibGateway/CrashWatch.h>
+#include <LibGateway/CrashDetector.h>
 #include <LibGateway/GatewayCall.h>
 #include <LibGateway/GatewayMetrics.h>
 #include <LibGateway/LoadExchange.h>
-#include <LibGateway/UnseenRuns.h>
+#include <LibGateway/UnconfirmedRuns.h>
 #include <LibHTTP/EventFramer.h>
 #include <LibObserve/EventLog.h>
 #include <LibPolicy/Admission.h>
@@ -74,10 +74,10 @@
     Dialect dialect;
     BackendFleet& fleet;
     LoadExchange& load;
-    CrashWatch& crashes;
+    CrashDetector& crashes;
     /// Where requests that begin to run are counted; null where nobody reports them.
     Cluster::SharedDuty* usage;
-    UnseenRuns unseen_runs;
+    UnconfirmedRuns unseen_runs;
     Policy::Admission admission;
     /// By service.
     std::map<std::string, Policy::FleetRetryBudget> budgets;
@@ -128,7 +128,7 @@
     /// A random number of the request from 0 to 1.
     [[nodiscard]] double own_draw() const;
     /// Delay to send as Retry-After when the request can be served at that opening.
-    [[nodiscard]] Core::Milliseconds return_delay(Opening const&, Core::MonotonicTime now) const;
+    [[nodiscard]] Core::Milliseconds return_delay(EarliestSend const&, Core::MonotonicTime now) const;
     void tell_rejection(Policy::Rejection const&) const;
     [[nodiscard]] std::string request_for(BackendView const&, Core::MonotonicTime now) const;
 
