--- a/Libraries/LibCluster/QuarantineKeeper.h
+++ b/Libraries/LibCluster/QuarantineKeeper.h
@@ -13,18 +13,18 @@
 
 namespace GraniteField::Cluster {
 
-/// Keeps quarantined requests in the platform's store, one object each, so that they are known after all gateways have
-/// lost power at one moment: gateways tell each other only as long as one of them lives. The few gateways that watch
-/// the store read it once and write; the others hear of it from these. For the thread that calls step().
+/// Stores quarantined requests in the platform's store, one object each, so that they survive a simultaneous power loss
+/// of all gateways: gateways keep them in memory only. The few gateways that watch the store read it once and write to
+/// it, and inform the other gateways. Used by the thread that calls step().
 template <typename Store>
 class QuarantineKeeper {
 public:
     static constexpr std::string_view s_kind = "granitefield-quarantine";
-    /// Between two looks; a quarantine stands in the store about so long after it was concluded.
+    /// Time between two steps, and roughly the delay until a new quarantine is stored.
     static constexpr Core::Milliseconds s_interval {1'000};
-    /// After a call that failed: it doubles up to the longest.
-    static constexpr Core::Milliseconds s_shortest_pause {250};
-    static constexpr Core::Milliseconds s_longest_pause {4'000};
+    /// Delay after a failed call; it doubles up to the maximum.
+    static constexpr Core::Milliseconds s_min_backoff {250};
+    static constexpr Core::Milliseconds s_max_backoff {4'000};
 
     QuarantineKeeper(SharedQuarantine& shared, Store& store, Observe::EventLog& log)
         : m_shared(shared)
@@ -33,14 +33,14 @@
     {
     }
 
-    /// Whether this gateway is among the few that watch the store.
+    /// Sets whether this gateway is one of the few that watch the store.
     void set_watching(bool value) { m_is_watching = value; }
 
-    /// Does what is due, and says when to look again.
+    /// Performs the pending calls and returns the time until the next step.
     Core::Milliseconds step()
     {
         std::ranges::move(m_shared.take_changes(), std::back_inserter(m_changes));
-        // The watchers do it; this one may become one of them.
+        // Discards the changes, which the watching gateways store. This gateway may become one of them later.
         if (!m_is_watching) {
             m_changes.clear();
             return s_interval;
@@ -51,15 +51,15 @@
                 write(m_changes.front());
                 m_changes.pop_front();
             }
-            m_pause = s_shortest_pause;
+            m_backoff = s_min_backoff;
             return s_interval;
         } catch (Platform::PlatformUnavailable const& error) {
             m_log.write(Observe::LogEvent("quarantine-store-lost").add("reason", error.what()));
-            return std::exchange(m_pause, std::min(m_pause * 2, s_longest_pause));
+            return std::exchange(m_backoff, std::min(m_backoff * 2, s_max_backoff));
         }
     }
 
-    /// Nothing is held beyond the process.
+    /// Does nothing, since the keeper holds no lease.
     void release() { }
 
 private:
@@ -80,7 +80,7 @@
     void write(QuarantineChange const& change)
     {
         auto const name = change.digest.to_string();
-        if (change.kind == QuarantineChange::Kind::Dropped) {
+        if (change.kind == QuarantineChange::Kind::Removed) {
             m_store.remove(s_kind, name);
             m_stored.erase(change.digest);
             return;
@@ -90,7 +90,7 @@
         try {
             m_store.create(s_kind, name, {{"quarantined", true}});
         } catch (Platform::VersionConflict const&) {
-            // Another watcher was first, or a lost answer hid that it was done.
+            // Another watcher has created the object, or an earlier call succeeded without an answer.
         }
         m_stored.insert(change.digest);
     }
@@ -102,7 +102,7 @@
     bool m_has_loaded {false};
     std::deque<QuarantineChange> m_changes;
     absl::flat_hash_set<Core::RequestDigest> m_stored;
-    Core::Milliseconds m_pause {s_shortest_pause};
+    Core::Milliseconds m_backoff {s_min_backoff};
 };
 
 }
--- a/Libraries/LibCluster/SharedDuty.cpp
+++ b/Libraries/LibCluster/SharedDuty.cpp
@@ -6,48 +6,47 @@
 
 namespace {
 
-/// Counts of windows that ended longer ago than their reports are due serve nobody; kept a little longer for clocks
-/// that differ.
-constexpr int s_windows_kept_beyond = 2;
-/// What was lost of a closed window's counts is made good this much later. A lost datagram of ten in a hundred leaves
-/// one count in a hundred to it.
-constexpr Core::Milliseconds s_repetition {250};
+/// Windows are kept until their reports are late, and this many longer to allow for differing clocks.
+constexpr int s_extra_windows_kept = 2;
+/// Delay after which the counts of a closed window are sent once more. With one datagram in ten lost, this repetition
+/// has to replace one count in a hundred.
+constexpr Core::Milliseconds s_resend_delay {250};
 
 }
 
-SharedDuty::SharedDuty(UsageSettings settings, std::uint64_t self, Core::MonotonicTime begun)
+SharedDuty::SharedDuty(UsageSettings settings, std::uint64_t self, Core::MonotonicTime started)
     : m_settings(settings)
     , m_self(self)
-    , m_clock(begun)
+    , m_clock(started)
     , m_ledger(self)
 {
 }
 
-void SharedDuty::count(std::string const& workspace, Core::MonotonicTime begun)
+void SharedDuty::count(std::string const& workspace, Core::MonotonicTime started)
 {
     std::lock_guard const lock(m_mutex);
-    if (auto const time = m_clock.at(begun))
+    if (auto const time = m_clock.at(started))
         m_ledger.count(window_at(*time, m_settings.window), workspace);
 }
 
-void SharedDuty::turn(WallTime own_clock, Core::MonotonicTime now)
+void SharedDuty::tick(WallTime own_clock, Core::MonotonicTime now)
 {
     std::lock_guard const lock(m_mutex);
-    m_clock.note_reading(m_self, {own_clock}, now);
+    m_clock.add_reading(m_self, {own_clock}, now);
     if (!m_clock.at(now))
         m_clock.follow_readings(now);
     auto const window = window_at(*m_clock.at(now), m_settings.window);
-    if (m_repetition && now >= m_repetition->second) {
-        m_ledger.tell_again(m_repetition->first);
-        m_repetition.reset();
+    if (m_resend && now >= m_resend->second) {
+        m_ledger.resend(m_resend->first);
+        m_resend.reset();
     }
     if (window <= m_current)
         return;
     m_current = window;
     UsageWindow const closed(window.value() - 1);
     m_ledger.close(closed);
-    m_repetition = {closed, now + s_repetition};
-    auto const kept = static_cast<std::uint64_t>(m_settings.late / m_settings.window) + s_windows_kept_beyond;
+    m_resend = {closed, now + s_resend_delay};
+    auto const kept = static_cast<std::uint64_t>(m_settings.report_deadline / m_settings.window) + s_extra_windows_kept;
     m_ledger.forget_before(UsageWindow(window.value() - std::min(window.value(), kept)));
 }
 
@@ -57,34 +56,34 @@
     return m_ledger.has_changes();
 }
 
-std::vector<GatewayUsage> SharedDuty::take_changes(std::size_t most_counts)
+std::vector<GatewayUsage> SharedDuty::take_changes(std::size_t max_counts)
 {
     std::lock_guard const lock(m_mutex);
-    return m_ledger.take_changes(most_counts);
+    return m_ledger.take_changes(max_counts);
 }
 
-std::vector<GatewayUsage> SharedDuty::everything(std::size_t most_counts) const
+std::vector<GatewayUsage> SharedDuty::usage_snapshot(std::size_t max_counts) const
 {
     std::lock_guard const lock(m_mutex);
-    return m_ledger.everything(most_counts);
+    return m_ledger.snapshot(max_counts);
 }
 
-void SharedDuty::take(GatewayUsage const& usage, UsageLedger::Relaying relaying)
+void SharedDuty::merge_usage(GatewayUsage const& usage, UsageLedger::Relaying relaying)
 {
     std::lock_guard const lock(m_mutex);
-    m_ledger.take(usage, relaying);
+    m_ledger.merge(usage, relaying);
 }
 
-void SharedDuty::note_clock(std::uint64_t id, FleetClock::Reading reading, Core::MonotonicTime now)
+void SharedDuty::add_clock_reading(std::uint64_t id, FleetClock::Reading reading, Core::MonotonicTime now)
 {
     std::lock_guard const lock(m_mutex);
-    m_clock.note_reading(id, reading, now);
+    m_clock.add_reading(id, reading, now);
 }
 
-void SharedDuty::follow_clock_word(FleetClock::Reading word, Core::MonotonicTime now)
+void SharedDuty::follow_agreed_time(FleetClock::Reading agreed, Core::MonotonicTime now)
 {
     std::lock_guard const lock(m_mutex);
-    m_clock.follow_word(word, now);
+    m_clock.follow_agreed_time(agreed, now);
 }
 
 void SharedDuty::follow_clock_readings(Core::MonotonicTime now)
@@ -105,24 +104,24 @@
     return m_clock.at(now);
 }
 
-void SharedDuty::note_word(DutyWord const& word)
+void SharedDuty::merge_status(DutyStatus const& status)
 {
     std::lock_guard const lock(m_mutex);
-    m_word.merge(word);
+    m_status.merge(status);
 }
 
-DutyWord SharedDuty::word() const
+DutyStatus SharedDuty::status() const
 {
     std::lock_guard const lock(m_mutex);
-    return m_word;
+    return m_status;
 }
 
 bool SharedDuty::is_settled(UsageWindow window, WallTime time) const
 {
     auto const passed = time - end_of(window, m_settings.window);
-    if (passed < UsageSettings::s_shortest_wait)
+    if (passed < UsageSettings::s_min_wait)
         return false;
-    return m_ledger.is_closed_by_all(window) || passed >= m_settings.late * UsageSettings::s_longest_wait_part;
+    return m_ledger.is_closed_by_all(window) || passed >= m_settings.report_deadline * UsageSettings::s_max_wait_ratio;
 }
 
 std::vector<UsageReport> SharedDuty::settled_reports(UsageWindow after, Core::MonotonicTime now) const
@@ -135,7 +134,7 @@
     for (auto const window : m_ledger.windows_after(after)) {
         if (!is_settled(window, *time))
             break;
-        if (*time < end_of(window, m_settings.window) + m_settings.late)
+        if (*time < end_of(window, m_settings.window) + m_settings.report_deadline)
             reports.push_back({window, m_ledger.totals(window)});
     }
     return reports;
@@ -156,7 +155,7 @@
     auto const time = m_clock.at(now);
     if (!time)
         return std::nullopt;
-    return end_of(window, m_settings.window) + m_settings.late - *time;
+    return end_of(window, m_settings.window) + m_settings.report_deadline - *time;
 }
 
 }
--- a/Libraries/LibEntry/AttemptQuestions.cpp
+++ b/Libraries/LibEntry/AttemptQuestions.cpp
@@ -1,4 +1,4 @@
-// How RequestRuns keeps in step with side processes: what it asks and revokes, and what it does when a link changes.
+// Synchronizes RequestRuns with the side processes: sends Resume and Revoke messages and handles changes of links.
 #include <LibEntry/RequestRuns.h>
 
 #include <LibProtocol/ProtocolVersion.h>
@@ -8,9 +8,9 @@
 namespace {
 
 constexpr Core::Milliseconds s_no_backend_retry_after {1'000};
-/// Revocations kept for a link that is down. What is beyond is stopped by the side process itself, when it
-/// finds its entry silent or the request's time over.
-constexpr std::size_t s_largest_waiting_revocations = 10'000;
+/// Maximum number of revocations kept for a link that is down. The side process stops any further attempts itself when
+/// its entry is silent or the request's time limit has passed.
+constexpr std::size_t s_max_pending_revocations = 10'000;
 
 }
 
@@ -38,12 +38,12 @@
 
 void RequestRuns::handle_replaced(SideLink& link, Core::MonotonicTime now)
 {
-    m_waiting_revocations.erase(link.backend_server().name);
+    m_pending_revocations.erase(link.backend_server().name);
     for (auto const& id : runs_at(link)) {
         auto& run = m_runs.at(id);
         retry_lost(run,
-            {502, "side_lost", "the side process was replaced while it had the request", Outcome::Unknown,
-                s_no_backend_retry_after},
+            {502, "side_lost", "the side process restarted, or has forgotten this entry, while it had the request",
+                Outcome::Unknown, s_no_backend_retry_after},
             now);
     }
 }
@@ -52,32 +52,33 @@
 {
     for (auto const& id : runs_at(link)) {
         auto& run = m_runs.at(id);
-        // What may not run twice, or has begun at the caller, waits for the side process to come back.
+        // A request that may not run twice, or whose answer has begun to reach the caller, waits until the side process
+        // reconnects.
         if (!run.call().is_repeatable || run.has_forwarded())
             continue;
         revoke(link, run);
         retry_lost(run,
-            {502, "side_silent", "the side process that had the request is silent", Outcome::Unknown,
+            {502, "side_silent", "the side process that had the request does not respond", Outcome::Unknown,
                 s_no_backend_retry_after},
             now);
     }
 }
 
-void RequestRuns::handle_came_back(SideLink& link, Core::MonotonicTime now)
+void RequestRuns::handle_reconnected(SideLink& link, Core::MonotonicTime now)
 {
-    send_waiting_revocations(link);
+    send_pending_revocations(link);
     for (auto const& id : runs_at(link))
-        ask(link, m_runs.at(id), now);
+        send_resume(link, m_runs.at(id), now);
 }
 
-void RequestRuns::send_waiting_revocations(SideLink& link)
+void RequestRuns::send_pending_revocations(SideLink& link)
 {
-    auto const found = m_waiting_revocations.find(link.backend_server().name);
-    if (found == m_waiting_revocations.end())
+    auto const found = m_pending_revocations.find(link.backend_server().name);
+    if (found == m_pending_revocations.end())
         return;
     for (auto const& envelope : found->second)
         link.send(envelope);
-    m_waiting_revocations.erase(found);
+    m_pending_revocations.erase(found);
 }
 
 void RequestRuns::revoke(SideLink& link, RequestRun& run)
@@ -88,19 +89,19 @@
     Protocol::set_key(message, run.key());
     message.set_side_incarnation(link.incarnation().value());
     message.set_session(link.session());
-    // A call that may not be repeated is left to end: to break it off would not undo it.
+    // A call that is not repeatable runs to its end, since cancelling would not undo it.
     message.set_should_cancel_running(run.call().is_repeatable);
     if (link.send(envelope))
         return;
-    auto& waiting = m_waiting_revocations[link.backend_server().name];
-    if (waiting.size() < s_largest_waiting_revocations)
+    auto& waiting = m_pending_revocations[link.backend_server().name];
+    if (waiting.size() < s_max_pending_revocations)
         waiting.push_back(std::move(envelope));
 }
 
-void RequestRuns::ask(SideLink& link, RequestRun& run, Core::MonotonicTime now)
+void RequestRuns::send_resume(SideLink& link, RequestRun& run, Core::MonotonicTime now)
 {
     auto& attempt = *run.attempt();
-    attempt.last_asked = now;
+    attempt.last_resume = now;
     auto envelope = Protocol::make_envelope();
     auto& resume = *envelope.mutable_resume();
     Protocol::set_key(resume, run.key());
--- a/Libraries/LibEntry/HostFollower.cpp
+++ b/Libraries/LibEntry/HostFollower.cpp
@@ -10,11 +10,11 @@
 namespace GraniteField::Entry {
 
 HostFollower::HostFollower(PlatformSettings const& settings, SharedDrains& drains, PeerExchange& peers,
-    std::function<void()> on_news, Observe::MetricRegistry& metrics)
+    std::function<void()> on_update, Observe::MetricRegistry& metrics)
     : m_interval(settings.host_interval)
     , m_drains(drains)
     , m_peers(peers)
-    , m_on_news(std::move(on_news))
+    , m_on_update(std::move(on_update))
     , m_metrics(metrics)
     , m_client(settings.address, settings.call_timeout)
     , m_backoff(settings.min_retry_delay, settings.max_retry_delay)
@@ -59,20 +59,21 @@
             if (server.state == Table::BackendServerState::Leaving)
                 leaving.push_back(std::move(server));
         } catch (std::exception const& error) {
-            LOG(ERROR) << "hosts: the entry of " << object.name << " can't be read: " << error.what();
+            LOG(ERROR) << "hosts: the backend server " << object.name
+                       << " in the platform's store is invalid: " << error.what();
         }
     }
     for (auto const& server : leaving) {
         drains.hosts.insert(server.address.to_string());
-        // Where a host has one backend server, its side process leaves with it.
+        // A host's only backend server leaves together with the host's side process.
         if (servers_by_host[server.address.host()] == 1)
             drains.hosts.insert(server.address.host());
     }
-    // The store's revision rises with every change of anything; only another content is news.
+    // The store's revision changes with any object, so only a different set of hosts counts as an update.
     if (drains.hosts == m_drains.current().hosts)
         return;
     if (m_drains.offer(std::move(drains)))
-        m_on_news();
+        m_on_update();
 }
 
 }
--- a/Libraries/LibEntry/HostFollower.h
+++ b/Libraries/LibEntry/HostFollower.h
@@ -11,14 +11,14 @@
 
 namespace GraniteField::Entry {
 
-/// Reads the list of backend servers in the platform's store now and then, for those that are leaving, on a thread of
-/// its own, in the entries that watch the platform. The list lags; a side process's own word and the data path are
-/// heard before it.
+/// Periodically reads the list of backend servers from the platform's store to find those that are leaving. Runs on its
+/// own thread, in the entries that watch the platform. The list lags behind: a side process's own announcement and
+/// failures of requests are noticed earlier.
 class HostFollower {
 public:
-    /// `on_news` is called on this thread when there is a newer list.
-    HostFollower(
-        PlatformSettings const&, SharedDrains&, PeerExchange&, std::function<void()> on_news, Observe::MetricRegistry&);
+    /// Calls `on_update` on its thread when the list has changed.
+    HostFollower(PlatformSettings const&, SharedDrains&, PeerExchange&, std::function<void()> on_update,
+        Observe::MetricRegistry&);
     ~HostFollower();
     HostFollower(HostFollower const&) = delete;
     HostFollower& operator=(HostFollower const&) = delete;
@@ -30,7 +30,7 @@
     Core::Milliseconds m_interval;
     SharedDrains& m_drains;
     PeerExchange& m_peers;
-    std::function<void()> m_on_news;
+    std::function<void()> m_on_update;
     Observe::MetricRegistry& m_metrics;
     Platform::ObjectClient m_client;
     Core::Backoff m_backoff;
--- a/Libraries/LibEntry/RequestRuns.cpp
+++ b/Libraries/LibEntry/RequestRuns.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr Core::Milliseconds s_no_backend_retry_after {1'000};
-constexpr Core::Milliseconds s_gave_up_retry_after {1'000};
+constexpr Core::Milliseconds s_timed_out_retry_after {1'000};
 
 template <typename Chooser>
 Chooser make_chooser(RequestRuns::Settings const& settings)
@@ -32,9 +32,9 @@
     , m_decisions(decisions)
     , m_spans(spans)
 {
-    if (settings.chooser == ChooserName::RoundRobin)
+    if (settings.chooser == ChooserStrategy::RoundRobin)
         m_chooser = make_chooser<Policy::RoundRobinChooser>(settings);
-    else if (settings.chooser == ChooserName::LeastOutstanding)
+    else if (settings.chooser == ChooserStrategy::LeastOutstanding)
         m_chooser = make_chooser<Policy::LeastOutstandingChooser>(settings);
 }
 
@@ -44,7 +44,7 @@
     return m_class_metrics.try_emplace(name, m_metrics, name).first->second;
 }
 
-void RequestRuns::decide(RequestRun const& run, std::string what)
+void RequestRuns::record_decision(RequestRun const& run, std::string what)
 {
     m_decisions.record(run.call().id, std::move(what));
 }
@@ -52,21 +52,21 @@
 void RequestRuns::begin(Call call, std::shared_ptr<CallerExchange> exchange, Core::MonotonicTime now)
 {
     if (call.kind == CallKind::Ticket)
-        return give_ticket(call, *exchange);
+        return issue_ticket(call, *exchange);
     auto const id = call.id;
     auto& run = m_runs.try_emplace(id, std::move(call), std::move(exchange)).first->second;
     metrics_of(run).calls.add();
     if (auto const excess = m_limits.enter(run.call().workspace, now)) {
-        decide(
-            run, Core::concat("refused: workspace ", run.call().workspace.name, " is over its limit ", excess->limit));
+        record_decision(
+            run, Core::concat("refused: workspace ", run.call().workspace.name, " exceeds its limit ", excess->limit));
         ErrorAnswer const error {429, "limit_" + excess->limit,
-            Core::concat("the workspace is over its limit ", excess->limit), Outcome::NotRun, excess->retry_after};
-        // It was never counted in, and leave() is for those that were.
+            Core::concat("the workspace exceeds its limit ", excess->limit), Outcome::NotRun, excess->retry_after};
+        // The request was not counted by enter(), so leave() must not be called for it.
         record_attainment(run, Outcome::NotRun);
-        ErrorAnswer told = error;
+        ErrorAnswer answer = error;
         if (!run.call().ticket.empty())
-            told.outcome = Outcome::Unknown;
-        run.fail(told);
+            answer.outcome = Outcome::Unknown;
+        run.fail(answer);
         m_runs.erase(id);
         return;
     }
@@ -74,8 +74,7 @@
         return dispatch_ticket(run, now);
     m_retry_budget.note_first_try();
     dispatch_or_hold(run,
-        {503, "no_backend", "no backend server of the service can be reached", Outcome::NotRun,
-            s_no_backend_retry_after},
+        {503, "no_backend", "no backend server of the service is reachable", Outcome::NotRun, s_no_backend_retry_after},
         now);
 }
 
@@ -98,7 +97,7 @@
     auto* attempt = run.attempt();
     auto* link = attempt == nullptr ? nullptr : m_links.find(attempt->backend_server);
     if (run.exchange().is_caller_gone()) {
-        decide(run, "the caller is gone");
+        record_decision(run, "the caller closed its connection");
         if (link != nullptr)
             revoke(*link, run);
         metrics_of(run).callers_gone.add();
@@ -106,36 +105,36 @@
     }
     if (link == nullptr)
         return;
-    bool const has_begun = attempt->state == AttemptView::State::Started;
+    bool const has_started = attempt->state == AttemptView::State::Started;
     bool const is_out_of_time
-        = Core::elapsed(run.call().received, now) > run.call().request_class.give_up_after + m_settings.give_up_grace;
-    if (!has_begun && is_out_of_time)
-        return give_up(run, now);
+        = Core::elapsed(run.call().received, now) > run.call().request_class.give_up_after + m_settings.timeout_grace;
+    if (!has_started && is_out_of_time)
+        return time_out(run, now);
     if (!link->is_up()) {
         if (Core::elapsed(attempt->last_heard, now) > m_settings.stall_limit)
             retry_lost(run,
-                {504, "side_silent", "the side process that has the request is silent", Outcome::Unknown,
+                {504, "side_silent", "the side process that has the request does not respond", Outcome::Unknown,
                     s_no_backend_retry_after},
                 now);
         return;
     }
-    if (attempt->acknowledged < attempt->chunks && run.can_caller_take_more())
+    if (attempt->acknowledged < attempt->chunks && run.can_caller_receive_more())
         acknowledge(*link, run, false);
-    bool const is_quiet = Core::elapsed(attempt->last_heard, now) > m_settings.question_interval
-        && Core::elapsed(attempt->last_asked, now) > m_settings.question_interval;
+    bool const is_quiet = Core::elapsed(attempt->last_heard, now) > m_settings.resume_interval
+        && Core::elapsed(attempt->last_resume, now) > m_settings.resume_interval;
     if (is_quiet)
-        ask(*link, run, now);
+        send_resume(*link, run, now);
 }
 
-void RequestRuns::give_up(RequestRun& run, Core::MonotonicTime)
+void RequestRuns::time_out(RequestRun& run, Core::MonotonicTime)
 {
     auto* link = m_links.find(run.attempt()->backend_server);
     if (link != nullptr)
         revoke(*link, run);
-    // No word came in time from the one process that could say that it has not run.
+    // The side process, which alone knows whether the request has run, did not answer in time.
     fail(run,
-        {504, "gave_up", "the request had not begun within its class's limit", Outcome::Unknown,
-            s_gave_up_retry_after});
+        {504, "gave_up", "the request did not start within its class's time limit", Outcome::Unknown,
+            s_timed_out_retry_after});
 }
 
 void RequestRuns::record_attainment(RequestRun& run, Outcome outcome)
@@ -158,7 +157,7 @@
 void RequestRuns::finish(RequestRun& run, Outcome outcome)
 {
     record_attainment(run, outcome);
-    decide(run, Core::concat("ended as ", to_string(outcome)));
+    record_decision(run, Core::concat("ended as ", to_string(outcome)));
     if (m_spans != nullptr && run.call().trace.is_sampled) {
         auto const wall_now = std::chrono::system_clock::now();
         auto const age = Core::monotonic_now() - run.call().received;
@@ -169,8 +168,8 @@
             outcome != Outcome::Done});
     }
     m_limits.leave(run.call().workspace);
-    leave_attempt(run);
-    m_held.erase(held_place(run));
+    close_attempt(run);
+    m_held.erase(held_key(run));
     m_runs.erase(run.call().id);
 }
 
@@ -181,7 +180,7 @@
         error.outcome = Outcome::Unknown;
     if (error.retry_after.count() > 0)
         error.retry_after = std::min(error.retry_after, run.smallest_retry_after().value_or(error.retry_after));
-    decide(run, Core::concat("refused: ", error.code, ", ", error.message));
+    record_decision(run, Core::concat("refused: ", error.code, ", ", error.message));
     run.fail(error);
     finish(run, error.outcome);
 }
@@ -204,9 +203,9 @@
                 revoke(*link, run);
         }
         if (run.has_forwarded())
-            cut(run, "stopping", "this entry stops");
+            cut(run, "stopping", "this entry is stopping");
         else
-            fail(run, {503, "stopping", "this entry stops", Outcome::Unknown, s_no_backend_retry_after});
+            fail(run, {503, "stopping", "this entry is stopping", Outcome::Unknown, s_no_backend_retry_after});
     }
 }
 
--- a/Libraries/LibEntry/Router.cpp
+++ b/Libraries/LibEntry/Router.cpp
@@ -10,11 +10,11 @@
 namespace {
 
 constexpr Core::Milliseconds s_tick_interval {50};
-/// How long an operator's request waits for the router before it gets the last status.
-constexpr Core::Milliseconds s_status_patience {1'000};
-/// Calls and messages of one link that are taken in one turn before the others have theirs.
-constexpr int s_submissions_per_turn = 1'000;
-constexpr int s_messages_per_turn = 2'000;
+/// Time for which an operator's request waits for a new status before it gets the previous one.
+constexpr Core::Milliseconds s_status_timeout {1'000};
+/// Maximum number of calls, and of messages of one link, that are handled before other work.
+constexpr int s_max_submissions_per_iteration = 1'000;
+constexpr int s_max_messages_per_iteration = 2'000;
 
 }
 
@@ -24,7 +24,7 @@
     : m_shared_table(table)
     , m_shared_drains(drains)
     , m_membership(membership)
-    , m_least_entry_count(settings.least_entry_count)
+    , m_min_entry_count(settings.min_entry_count)
     , m_metrics(metrics)
     , m_links(context, settings.links)
     , m_runs(settings.runs, m_links, metrics, decisions, spans)
@@ -51,12 +51,12 @@
 
 std::string Router::status()
 {
-    // Made when it is asked for: with hundreds of links it costs more than all else that an idle entry does.
+    // The status is built on demand only: with hundreds of links it costs more than all other work of an idle entry.
     std::unique_lock lock(m_mutex);
     auto const seen = m_status_count;
     m_is_status_wanted = true;
     m_wake.signal();
-    m_status_signal.wait_for(lock, s_status_patience, [this, seen] { return m_status_count != seen; });
+    m_status_signal.wait_for(lock, s_status_timeout, [this, seen] { return m_status_count != seen; });
     return m_status;
 }
 
@@ -64,17 +64,17 @@
 {
     while (!m_should_stop) {
         wait_for_work();
-        // Messages come before the clock, so that a pause of this process itself is not taken for the
-        // silence of others.
-        take_messages();
+        // Messages are handled before the clock is checked, so that a stall of this process is not mistaken for silence
+        // of the side processes.
+        receive_messages();
         follow_table();
-        take_submissions();
+        receive_submissions();
         tick();
         m_open_count = m_runs.count();
         if (m_is_status_wanted.exchange(false))
             publish_status();
     }
-    take_submissions();
+    receive_submissions();
     m_runs.abandon_all();
 }
 
@@ -90,27 +90,27 @@
     m_wake.drain();
 }
 
-void Router::take_submissions()
+void Router::receive_submissions()
 {
-    for (int count = 0; count < s_submissions_per_turn; ++count) {
+    for (int count = 0; count < s_max_submissions_per_iteration; ++count) {
         auto submission = m_submissions.try_pop();
         if (!submission)
             return;
         m_runs.begin(std::move(submission->call), std::move(submission->exchange), Core::monotonic_now());
     }
-    // What is left is taken in the next turn, without a wait.
+    // The next iteration handles the rest without waiting.
     m_wake.signal();
 }
 
-void Router::take_messages()
+void Router::receive_messages()
 {
     for (auto const& [name, link] : m_links.all())
-        take_messages(*link);
+        receive_messages(*link);
 }
 
-void Router::take_messages(SideLink& link)
+void Router::receive_messages(SideLink& link)
 {
-    for (int count = 0; count < s_messages_per_turn; ++count) {
+    for (int count = 0; count < s_max_messages_per_iteration; ++count) {
         auto const message = link.receive();
         if (!message)
             return;
@@ -126,8 +126,8 @@
     switch (change) {
     case SideLink::Change::None:
         return;
-    case SideLink::Change::CameBack:
-        return m_runs.handle_came_back(link, Core::monotonic_now());
+    case SideLink::Change::Reconnected:
+        return m_runs.handle_reconnected(link, Core::monotonic_now());
     case SideLink::Change::Replaced:
         return m_runs.handle_replaced(link, Core::monotonic_now());
     case SideLink::Change::Lost:
@@ -147,7 +147,7 @@
         return;
     m_links.follow(*table);
     m_followed_version = table->version();
-    LOG(INFO) << "entry: table version " << table->version().value() << " is in force";
+    LOG(INFO) << "entry: table version " << table->version().value() << " has taken effect";
     m_metrics.gauge("granitefield_table_version").set(static_cast<std::int64_t>(table->version().value()));
 }
 
@@ -159,9 +159,9 @@
     m_last_tick = time;
     for (auto const& [name, link] : m_links.all())
         apply(*link, link->tick(time));
-    m_runs.set_entry_count(std::max(m_least_entry_count, m_membership.peer_count + 1));
+    m_runs.set_entry_count(std::max(m_min_entry_count, m_membership.peer_count + 1));
     m_runs.tick(time);
-    // A row that moved gets its new link once the old one is closed.
+    // A backend server whose address changed gets its new link once the old one is closed.
     if (m_links.close_removed())
         m_followed_version.reset();
     m_has_backends = std::ranges::any_of(m_links.all(), [](auto const& item) { return item.second->is_available(); });
--- a/Libraries/LibGateway/CrashDetector.cpp
+++ b/Libraries/LibGateway/CrashDetector.cpp
@@ -137,7 +137,7 @@
     bool const is_quarantined = conclusion.kind == Policy::CrashConclusion::Kind::Quarantined;
     if (is_quarantined || conclusion.was_quarantined)
         m_store_quarantine->add_change(
-            {is_quarantined ? Change::Kind::Kept : Change::Kind::Dropped, conclusion.digest});
+            {is_quarantined ? Change::Kind::Added : Change::Kind::Removed, conclusion.digest});
 }
 
 void CrashDetector::log(Policy::CrashConclusion const& conclusion)
--- a/Libraries/LibGateway/DutySharing.cpp
+++ b/Libraries/LibGateway/DutySharing.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-using Cluster::DutyWord;
+using Cluster::DutyStatus;
 using Cluster::UsageWindow;
 using UsageMessages = google::protobuf::RepeatedPtrField<granitefield::protocol::GatewayUsage>;
 
@@ -28,22 +28,22 @@
     return static_cast<std::uint32_t>(age);
 }
 
-void write_duty(granitefield::protocol::DutyWord& message, DutyWord const& duty, Core::MonotonicTime now)
+void write_duty(granitefield::protocol::DutyWord& message, DutyStatus const& duty, Core::MonotonicTime now)
 {
     message.set_version(duty.version);
-    message.set_heard_age_ms(age_of(duty.heard, now));
-    if (duty.alive && Core::elapsed(*duty.alive, now) < s_max_reported_age)
-        message.set_alive_age_ms(age_of(*duty.alive, now));
+    message.set_heard_age_ms(age_of(duty.version_seen, now));
+    if (duty.last_alive && Core::elapsed(*duty.last_alive, now) < s_max_reported_age)
+        message.set_alive_age_ms(age_of(*duty.last_alive, now));
     message.set_is_released(duty.is_released);
 }
 
-DutyWord read_duty(granitefield::protocol::DutyWord const& message, Core::MonotonicTime now)
+DutyStatus read_duty(granitefield::protocol::DutyWord const& message, Core::MonotonicTime now)
 {
-    DutyWord duty;
+    DutyStatus duty;
     duty.version = message.version();
-    duty.heard = now - Core::Milliseconds(message.heard_age_ms());
+    duty.version_seen = now - Core::Milliseconds(message.heard_age_ms());
     if (message.has_alive_age_ms())
-        duty.alive = now - Core::Milliseconds(message.alive_age_ms());
+        duty.last_alive = now - Core::Milliseconds(message.alive_age_ms());
     duty.is_released = message.is_released();
     return duty;
 }
@@ -116,24 +116,24 @@
 {
     write_usage(*report.mutable_usage(), m_duty.take_changes(s_max_changes));
     report.set_clock_ms(own_clock.time_since_epoch().count());
-    write_duty(*report.mutable_duty(), m_duty.word(), now);
+    write_duty(*report.mutable_duty(), m_duty.status(), now);
 }
 
 void DutySharing::receive_report(granitefield::protocol::GatewayLoad const& report, Core::MonotonicTime now)
 {
     for (auto const& usage : report.usage())
-        m_duty.take(read_usage(usage), Cluster::UsageLedger::Relaying::Yes);
+        m_duty.merge_usage(read_usage(usage), Cluster::UsageLedger::Relaying::Yes);
     if (report.clock_ms() > 0)
-        m_duty.note_clock(report.sender(), {to_time(report.clock_ms())}, now);
+        m_duty.add_clock_reading(report.sender(), {to_time(report.clock_ms())}, now);
     if (report.has_duty())
-        m_duty.note_word(read_duty(report.duty(), now));
+        m_duty.merge_status(read_duty(report.duty(), now));
 }
 
 void DutySharing::fill_relayed(granitefield::protocol::RelayedLoad& relayed, Core::MonotonicTime now)
 {
     m_duty.follow_clock_readings(now);
     write_usage(*relayed.mutable_usage(), m_duty.take_changes(s_max_changes));
-    write_duty(*relayed.mutable_duty(), m_duty.word(), now);
+    write_duty(*relayed.mutable_duty(), m_duty.status(), now);
     auto const agreed = m_duty.fleet_time(now);
     auto const median = m_duty.host_median(now);
     if (!agreed || !median)
@@ -146,22 +146,22 @@
 
 void DutySharing::fill_all(granitefield::protocol::RelayedLoad& relayed)
 {
-    write_usage(*relayed.mutable_usage(), m_duty.everything(s_max_counts - s_max_changes));
+    write_usage(*relayed.mutable_usage(), m_duty.usage_snapshot(s_max_counts - s_max_changes));
 }
 
 void DutySharing::receive_relayed(
     granitefield::protocol::RelayedLoad const& relayed, Sender sender, Core::MonotonicTime now)
 {
     for (auto const& usage : relayed.usage())
-        m_duty.take(read_usage(usage), Cluster::UsageLedger::Relaying::No);
+        m_duty.merge_usage(read_usage(usage), Cluster::UsageLedger::Relaying::No);
     if (relayed.has_duty())
-        m_duty.note_word(read_duty(relayed.duty(), now));
+        m_duty.merge_status(read_duty(relayed.duty(), now));
     if (!relayed.has_time())
         return;
     auto const& time = relayed.time();
     if (sender == Sender::OwnRelay)
-        return m_duty.follow_clock_word({to_time(time.agreed_ms()), time.hosts()}, now);
-    m_duty.note_clock(
+        return m_duty.follow_agreed_time({to_time(time.agreed_ms()), time.hosts()}, now);
+    m_duty.add_clock_reading(
         relayed.relay(), {to_time(time.median_ms()), time.hosts(), Cluster::FleetClock::Source::Group}, now);
 }
 
--- a/Libraries/LibGateway/GatewayServer.cpp
+++ b/Libraries/LibGateway/GatewayServer.cpp
@@ -439,7 +439,7 @@
 
 nlohmann::json GatewayServer::usage_status(Cluster::SharedDuty const& usage, Core::MonotonicTime now)
 {
-    auto const lease = usage.word();
+    auto const lease = usage.status();
     nlohmann::json windows = nlohmann::json::array();
     for (auto const& [window, requests] : usage.window_totals()) {
         auto const left = usage.time_left(window, now);
@@ -447,7 +447,8 @@
             {{"window", window.value()}, {"requests", requests}, {"late-in-ms", left ? left->count() : 0}});
     }
     return {{"lease-version", lease.version}, {"released", lease.is_released},
-        {"holder-heard-ms-ago", lease.alive ? Core::elapsed(*lease.alive, now).count() : -1}, {"windows", windows}};
+        {"holder-heard-ms-ago", lease.last_alive ? Core::elapsed(*lease.last_alive, now).count() : -1},
+        {"windows", windows}};
 }
 
 nlohmann::json GatewayServer::quarantine_status(Policy::CrashLedger const& ledger, Core::MonotonicTime now)
--- a/Libraries/LibGateway/LoadSharing.cpp
+++ b/Libraries/LibGateway/LoadSharing.cpp
@@ -329,7 +329,7 @@
 std::vector<OutgoingDatagram> LoadSharing::tick(Cluster::WallTime own_clock, Core::MonotonicTime now)
 {
     if (m_duty_sharing != nullptr)
-        m_duty_sharing->duty().turn(own_clock, now);
+        m_duty_sharing->duty().tick(own_clock, now);
     m_failure_detector.remove_expired(now);
     m_relay_loads.remove_silent(now, s_relay_expiry, s_entry_expiry);
     for (auto const gateway : m_aggregator.remove_silent(now))
