--- a/Libraries/LibEntry/AttemptMessages.cpp
+++ b/Libraries/LibEntry/AttemptMessages.cpp
@@ -132,7 +132,7 @@
         acknowledge_stray(link, Protocol::key_of(message.failed()));
 }
 
-void RequestRuns::acknowledge_stray(SideLink& link, Policy::WorkKey const& key)
+void RequestRuns::acknowledge_stray(SideLink& link, Policy::AttemptKey const& key)
 {
     auto envelope = Protocol::make_envelope();
     auto& body = *envelope.mutable_acknowledge();
--- a/Libraries/LibEntry/AttemptQuestions.cpp
+++ b/Libraries/LibEntry/AttemptQuestions.cpp
@@ -14,7 +14,7 @@
 
 }
 
-RequestRun* RequestRuns::find(Policy::WorkKey const& key, SideLink const& link)
+RequestRun* RequestRuns::find(Policy::AttemptKey const& key, SideLink const& link)
 {
     auto const found = m_runs.find(key.request);
     if (found == m_runs.end())
--- a/Libraries/LibEntry/RequestRun.h
+++ b/Libraries/LibEntry/RequestRun.h
@@ -76,7 +76,7 @@
     AttemptView& begin_attempt(std::string backend_server, Core::MonotonicTime now);
     /// The present attempt is over and was not the last word.
     void drop_attempt();
-    [[nodiscard]] Policy::WorkKey key() const
+    [[nodiscard]] Policy::AttemptKey key() const
     {
         return {m_call.id, m_attempt ? m_attempt->number : Core::AttemptNumber()};
     }
--- a/Libraries/LibEntry/RequestRuns.h
+++ b/Libraries/LibEntry/RequestRuns.h
@@ -107,7 +107,7 @@
     void note_in_load_report(SideLink&, RequestRun&, Protocol::Message::LoadReport const&);
 
     void acknowledge(SideLink&, RequestRun&, bool is_final);
-    void acknowledge_stray(SideLink&, Policy::WorkKey const&);
+    void acknowledge_stray(SideLink&, Policy::AttemptKey const&);
     void ask(SideLink&, RequestRun&, Core::MonotonicTime now);
     void revoke(SideLink&, RequestRun&);
 
@@ -119,7 +119,7 @@
     void record_attainment(RequestRun&, Outcome);
     [[nodiscard]] ClassMetrics& metrics_of(RequestRun const&);
     void decide(RequestRun const&, std::string what);
-    [[nodiscard]] RequestRun* find(Policy::WorkKey const&, SideLink const&);
+    [[nodiscard]] RequestRun* find(Policy::AttemptKey const&, SideLink const&);
     [[nodiscard]] std::vector<Core::RequestId> runs_at(SideLink const&);
     void send_waiting_revocations(SideLink&);
 
--- a/Libraries/LibPolicy/AdmissionQueue.h
+++ b/Libraries/LibPolicy/AdmissionQueue.h
@@ -20,18 +20,18 @@
 namespace GraniteField::Policy {
 
 struct QueueLimits {
-    /// Attempts that run at once.
+    /// Maximum number of running attempts.
     unsigned slots {1};
-    /// Attempts that wait at once, over all tiers.
+    /// Maximum number of waiting attempts of all tiers.
     unsigned queue_limit {64};
-    /// Slots that only the urgent tier takes.
+    /// Number of slots reserved for the urgent tier.
     unsigned headroom_slots {0};
 };
 
 enum class StartReason {
-    /// It was first in the order of tiers and deadlines.
+    /// First in the order of tiers and deadlines.
     Order,
-    /// Its class was owed a slot by its floor.
+    /// The floor of its class entitled it to a slot.
     Floor,
 };
 
@@ -40,31 +40,32 @@
     StartReason reason {StartReason::Order};
 };
 
-/// What became of an offered attempt.
-struct Offer {
-    /// Nothing: it waits now.
+/// Result of offering an attempt to the queue.
+struct OfferResult {
+    /// Reason for the refusal, or nullopt if the attempt was queued.
     std::optional<Refusal> refusal;
-    /// With a refusal: when a try is likely to fare better.
+    /// Delay after which a retry of the refused or displaced attempt is likely to succeed.
     Core::Milliseconds retry_after {0};
-    /// An attempt of a lower tier that had to give its place.
+    /// Waiting attempt of a lower tier that was removed for this one.
     std::optional<Work> displaced;
 };
 
-/// An attempt that may not wait any longer.
+/// Waiting attempt that reached its deadline.
 struct Expiry {
     Work work;
-    Refusal refusal {Refusal::GaveUp};
+    Refusal refusal {Refusal::Deadline};
 };
 
-/// The queue and the slots of one backend server: which attempt starts, waits or is refused.
+/// Admission control and scheduling for the slots of one backend server: decides which attempts start, wait or are
+/// refused.
 ///
-/// Rules, for a discipline with tiers: no attempt starts by order while one of a higher tier waits and
-/// could start; a full queue gives a newcomer the place of the last attempt of the lowest tier, if that
-/// is lower than the newcomer's own; so an attempt is never refused while a lower tier waits. Floors
-/// delay higher tiers by their share of the slots and never displace anything.
+/// With a discipline that has tiers, no attempt starts by order while one of a higher tier waits and could start. When
+/// the queue is full, a new attempt displaces the last attempt of the lowest tier if that tier is lower than its own,
+/// so an attempt is never refused while one of a lower tier waits. Floors delay higher tiers by at most the floors'
+/// share of the slots and never displace an attempt.
 ///
-/// No clock and no I/O of its own. Each operation costs O(log n) in the number of waiting attempts, and
-/// O(c) in the number of classes that have a floor.
+/// No clock and no I/O. Each operation costs O(log n) in the number of waiting attempts and O(c) in the number of
+/// classes with a floor.
 template <Discipline Rules>
 class AdmissionQueue {
 public:
@@ -73,24 +74,24 @@
     {
     }
 
-    [[nodiscard]] Offer offer(Work, Core::MonotonicTime now);
-    /// The attempt that starts now, if any. Call it until it gives nothing.
+    [[nodiscard]] OfferResult offer(Work, Core::MonotonicTime now);
+    /// Starts the next attempt, or returns nullopt. Call repeatedly until it returns nullopt.
     [[nodiscard]] std::optional<Start> next(Core::MonotonicTime now);
-    /// A started attempt has left its slot.
-    void finish(WorkKey const&, Core::MonotonicTime now);
-    /// A running attempt that should be suspended now, so that one of a higher tier meets its target. It
-    /// keeps its slot until suspend() or finish(). Call it until it gives nothing.
-    [[nodiscard]] std::optional<WorkKey> next_preemption(Core::MonotonicTime now);
-    /// A running attempt was suspended: it waits again, at its old place, and takes none of the queue's.
-    void suspend(WorkKey const&, Core::MonotonicTime now);
-    /// Takes a waiting attempt out of the queue; nothing when it does not wait.
-    std::optional<Work> withdraw(WorkKey const&, Core::MonotonicTime now);
-    /// Takes out what has waited too long.
+    /// Releases the slot of a running attempt.
+    void finish(AttemptKey const&, Core::MonotonicTime now);
+    /// Returns a running attempt to suspend so that one of a higher tier meets its target. It keeps its slot until
+    /// suspend() or finish(). Call repeatedly until it returns nullopt.
+    [[nodiscard]] std::optional<AttemptKey> next_preemption(Core::MonotonicTime now);
+    /// Requeues a suspended attempt at its former position. It does not count towards the queue limit.
+    void suspend(AttemptKey const&, Core::MonotonicTime now);
+    /// Removes a waiting attempt. Returns nullopt if it is not waiting.
+    std::optional<Work> withdraw(AttemptKey const&, Core::MonotonicTime now);
+    /// Removes and returns the attempts that reached their deadline.
     [[nodiscard]] std::vector<Expiry> expire(Core::MonotonicTime now);
-    /// When next() or expire() may have something to do without any other call.
-    [[nodiscard]] std::optional<Core::MonotonicTime> next_wake() const;
+    /// Time of the next call to next() or expire() that is needed without any other event.
+    [[nodiscard]] std::optional<Core::MonotonicTime> next_wakeup() const;
 
-    [[nodiscard]] bool is_waiting(WorkKey const& key) const { return m_waiting.contains(key); }
+    [[nodiscard]] bool is_waiting(AttemptKey const& key) const { return m_waiting.contains(key); }
     [[nodiscard]] std::size_t suspended_count() const { return m_suspended_count; }
     [[nodiscard]] std::size_t waiting_count() const { return m_waiting.size(); }
     [[nodiscard]] std::size_t waiting_count(unsigned tier) const { return m_tiers.at(tier - 1).waiting.size(); }
@@ -98,16 +99,16 @@
     [[nodiscard]] std::size_t running_count() const { return m_running.size(); }
     [[nodiscard]] QueueLimits const& limits() const { return m_limits; }
 
-    /// How long an attempt of this tier would wait for a slot if it came now.
+    /// Predicted wait for a slot of a new attempt of this tier.
     [[nodiscard]] Core::Milliseconds expected_wait(unsigned tier) const;
-    /// Mean time for which recent attempts held a slot.
+    /// Moving mean of the time for which attempts hold a slot.
     [[nodiscard]] Core::Milliseconds mean_service() const
     {
         return Core::Milliseconds(static_cast<std::int64_t>(m_mean_service_milliseconds));
     }
 
 private:
-    /// Place in the order of a tier or of a class: earlier first, arrival breaks ties.
+    /// Position in the order of a tier or a class. Ties are broken by arrival.
     struct OrderKey {
         Core::MonotonicTime time;
         std::uint64_t arrival {0};
@@ -115,7 +116,7 @@
         auto operator<=>(OrderKey const&) const = default;
     };
 
-    using Order = std::map<OrderKey, WorkKey>;
+    using Order = std::map<OrderKey, AttemptKey>;
 
     struct Waiting {
         Work work;
@@ -128,8 +129,8 @@
     };
 
     struct Running {
-        /// As it waited, so that it can wait again.
-        Waiting place;
+        /// Kept so that the attempt can be requeued when it is suspended.
+        Waiting queue_entry;
         Core::MonotonicTime started;
         std::optional<FloorAccount::SlotTime> charged;
         bool is_being_suspended {false};
@@ -144,48 +145,47 @@
         Order waiting;
         FloorAccount floor;
         unsigned floor_percent {0};
-        /// Attempts that the floor started and that still run.
+        /// Number of running attempts that the floor started.
         unsigned floor_running {0};
     };
 
-    /// Gain of the moving mean of service times.
+    /// Weight of a new sample in the moving mean of service times.
     static constexpr double s_mean_gain = 0.05;
-    static constexpr Core::Milliseconds s_least_retry_after {50};
-    /// How often one attempt may be suspended.
-    static constexpr unsigned s_most_suspensions = 3;
+    static constexpr Core::Milliseconds s_min_retry_after {50};
+    static constexpr unsigned s_max_suspensions = 3;
 
     [[nodiscard]] static unsigned tier_of(Work const& work) { return Rules::has_tiers ? work.tier : s_urgent_tier; }
     [[nodiscard]] unsigned free_slots() const
     {
         return m_limits.slots - std::min<unsigned>(m_limits.slots, static_cast<unsigned>(m_running.size()));
     }
-    [[nodiscard]] unsigned free_slots_for(unsigned tier, unsigned held) const;
-    [[nodiscard]] unsigned held_slots(Core::MonotonicTime now);
+    [[nodiscard]] unsigned free_slots_for(unsigned tier, unsigned reserved) const;
+    [[nodiscard]] unsigned reserved_slots(Core::MonotonicTime now);
     [[nodiscard]] std::size_t spare_slots(unsigned tier, Core::MonotonicTime now);
     [[nodiscard]] bool can_start_at_once(Work const&, Core::MonotonicTime now);
     [[nodiscard]] bool is_target_out_of_reach(Work const&, Core::MonotonicTime now) const;
-    [[nodiscard]] Offer refuse(Work const&, Refusal, Core::MonotonicTime now);
+    [[nodiscard]] OfferResult refuse(Work const&, Refusal, Core::MonotonicTime now);
     [[nodiscard]] Core::Milliseconds retry_after(Work const&, Core::MonotonicTime now) const;
     [[nodiscard]] std::optional<Work> displace_below(unsigned tier, Core::MonotonicTime now);
     void enqueue(Work, Core::MonotonicTime now);
     void insert(Waiting, Core::MonotonicTime now);
-    Waiting take(WorkKey const&, Core::MonotonicTime now);
-    void leave_slot(Running const&, Core::MonotonicTime now);
-    [[nodiscard]] bool is_about_to_miss(Work const&, Core::MonotonicTime now) const;
+    Waiting remove(AttemptKey const&, Core::MonotonicTime now);
+    void release_slot(Running const&, Core::MonotonicTime now);
+    [[nodiscard]] bool is_about_to_miss_target(Work const&, Core::MonotonicTime now) const;
     [[nodiscard]] Running* choose_victim(unsigned tier);
-    Start start(WorkKey const&, StartReason, Core::MonotonicTime now);
-    [[nodiscard]] std::optional<WorkKey> first_by_floor(Core::MonotonicTime now);
-    [[nodiscard]] std::optional<WorkKey> first_by_order(unsigned held) const;
+    Start start(AttemptKey const&, StartReason, Core::MonotonicTime now);
+    [[nodiscard]] std::optional<AttemptKey> first_by_floor(Core::MonotonicTime now);
+    [[nodiscard]] std::optional<AttemptKey> first_by_order(unsigned reserved) const;
     ClassState& class_state(Work const&);
 
     QueueLimits m_limits;
     std::array<Tier, s_tier_count> m_tiers;
     absl::node_hash_map<std::string, ClassState> m_classes;
-    absl::node_hash_map<WorkKey, Waiting> m_waiting;
-    std::set<std::pair<Core::MonotonicTime, WorkKey>> m_expiries;
-    absl::flat_hash_map<WorkKey, Running> m_running;
+    absl::node_hash_map<AttemptKey, Waiting> m_waiting;
+    std::set<std::pair<Core::MonotonicTime, AttemptKey>> m_expiries;
+    absl::flat_hash_map<AttemptKey, Running> m_running;
     std::size_t m_suspended_count {0};
-    /// Attempts that are being suspended and still hold their slots.
+    /// Number of attempts that are being suspended and still hold their slots.
     std::size_t m_suspending_count {0};
     std::uint64_t m_arrivals {0};
     double m_mean_service_milliseconds {0};
@@ -195,7 +195,7 @@
 auto AdmissionQueue<Rules>::class_state(Work const& work) -> ClassState&
 {
     auto& state = m_classes[work.request_class];
-    // A row of a later table version may bring another floor.
+    // The floor of a class may change with the table version.
     if (Rules::has_floors && state.floor_percent != work.floor_percent) {
         state.floor_percent = work.floor_percent;
         state.floor.set_share(m_limits.slots * work.floor_percent / 100.0);
@@ -204,55 +204,55 @@
 }
 
 template <Discipline Rules>
-unsigned AdmissionQueue<Rules>::free_slots_for(unsigned tier, unsigned held) const
+unsigned AdmissionQueue<Rules>::free_slots_for(unsigned tier, unsigned reserved) const
 {
     auto const headroom = Rules::has_tiers && tier != s_urgent_tier ? m_limits.headroom_slots : 0;
-    auto const kept = headroom + held;
-    return free_slots() - std::min(free_slots(), kept);
+    auto const unavailable = headroom + reserved;
+    return free_slots() - std::min(free_slots(), unavailable);
 }
 
 template <Discipline Rules>
-unsigned AdmissionQueue<Rules>::held_slots(Core::MonotonicTime now)
+unsigned AdmissionQueue<Rules>::reserved_slots(Core::MonotonicTime now)
 {
     if constexpr (!Rules::has_floors)
         return 0;
-    unsigned held = 0;
+    unsigned reserved = 0;
     for (auto& [name, state] : m_classes) {
         if (state.floor_percent == 0)
             continue;
         state.floor.update(now);
-        if (state.floor.is_holding_slot(now, free_slots() > held))
-            ++held;
+        if (state.floor.is_holding_slot(now, free_slots() > reserved))
+            ++reserved;
     }
-    return held;
+    return reserved;
 }
 
 template <Discipline Rules>
 std::size_t AdmissionQueue<Rules>::spare_slots(unsigned tier, Core::MonotonicTime now)
 {
-    // Free slots that higher tiers do not take: what came together and has not been started yet will leave its
-    // places in the queue for them.
+    // Higher tiers take free slots first. Attempts that arrived together and have not started yet will leave the queue
+    // for these slots.
     std::size_t above = 0;
     for (unsigned higher = 1; higher < tier; ++higher)
         above += m_tiers[higher - 1].waiting.size();
-    auto const free = free_slots_for(tier, held_slots(now));
+    auto const free = free_slots_for(tier, reserved_slots(now));
     return free - std::min<std::size_t>(free, above);
 }
 
 template <Discipline Rules>
 bool AdmissionQueue<Rules>::can_start_at_once(Work const& work, Core::MonotonicTime now)
 {
-    auto const held = held_slots(now);
+    auto const reserved = reserved_slots(now);
     auto& state = class_state(work);
     bool const is_owed_a_slot = state.floor.is_owed() && free_slots() > 0 && state.waiting.empty()
-        && state.floor_running < state.floor.largest_running_count();
+        && state.floor_running < state.floor.max_running();
     if (is_owed_a_slot)
         return true;
     for (unsigned tier = 1; tier <= tier_of(work); ++tier) {
         if (!m_tiers[tier - 1].waiting.empty())
             return false;
     }
-    return free_slots_for(tier_of(work), held) > 0;
+    return free_slots_for(tier_of(work), reserved) > 0;
 }
 
 template <Discipline Rules>
@@ -279,16 +279,16 @@
 template <Discipline Rules>
 Core::Milliseconds AdmissionQueue<Rules>::retry_after(Work const& work, Core::MonotonicTime now) const
 {
-    // The queue has to drain until the wait fits into the time that this class has for its first token.
+    // The queue must drain until the predicted wait fits into the time before the target.
     auto const wait = expected_wait(work.tier);
     auto const budget = std::chrono::duration_cast<Core::Milliseconds>(work.target - now) - work.expected_first_token;
     auto const excess = wait - std::clamp(budget, Core::Milliseconds(0), wait);
-    auto const one_place = Core::Milliseconds(static_cast<std::int64_t>(m_mean_service_milliseconds / m_limits.slots));
-    return std::max({excess, one_place, s_least_retry_after});
+    auto const per_place = Core::Milliseconds(static_cast<std::int64_t>(m_mean_service_milliseconds / m_limits.slots));
+    return std::max({excess, per_place, s_min_retry_after});
 }
 
 template <Discipline Rules>
-Offer AdmissionQueue<Rules>::refuse(Work const& work, Refusal refusal, Core::MonotonicTime now)
+OfferResult AdmissionQueue<Rules>::refuse(Work const& work, Refusal refusal, Core::MonotonicTime now)
 {
     class_state(work).floor.note_unmet_demand(now);
     return {refusal, retry_after(work, now), std::nullopt};
@@ -299,13 +299,13 @@
 {
     for (unsigned lower = s_tier_count; lower > tier; --lower) {
         auto const& waiting = m_tiers[lower - 1].waiting;
-        // What is suspended has begun: its place is not in the queue's limit, and it is not given up.
+        // Suspended attempts have started: they do not count towards the queue limit and are not displaced.
         auto const last = std::find_if(waiting.rbegin(), waiting.rend(),
             [this](auto const& item) { return !m_waiting.at(item.second).is_suspended; });
         if (last == waiting.rend())
             continue;
         auto const key = last->second;
-        auto work = take(key, now).work;
+        auto work = remove(key, now).work;
         class_state(work).floor.note_unmet_demand(now);
         return work;
     }
@@ -313,7 +313,7 @@
 }
 
 template <Discipline Rules>
-Offer AdmissionQueue<Rules>::offer(Work work, Core::MonotonicTime now)
+OfferResult AdmissionQueue<Rules>::offer(Work work, Core::MonotonicTime now)
 {
     if (can_start_at_once(work, now)) {
         enqueue(std::move(work), now);
@@ -324,7 +324,7 @@
         return refuse(work, Refusal::ClassQueueFull, now);
     if (is_target_out_of_reach(work, now))
         return refuse(work, Refusal::TargetOutOfReach, now);
-    Offer offer;
+    OfferResult offer;
     if (m_waiting.size() - m_suspended_count >= m_limits.queue_limit + spare_slots(tier_of(work), now)) {
         offer.displaced = displace_below(tier_of(work), now);
         if (!offer.displaced)
@@ -347,7 +347,7 @@
             work.class_weight * work.workspace_weight, work.expected_service);
         waiting.order.time = work.target + std::chrono::duration_cast<Core::MonotonicTime::duration>(waiting.lead);
     }
-    waiting.expires = work.give_up;
+    waiting.expires = work.start_deadline;
     if (Rules::has_deadlines && work.should_refuse_late)
         waiting.expires = std::min(waiting.expires, work.target - work.expected_first_token);
     waiting.work = std::move(work);
@@ -368,7 +368,7 @@
 }
 
 template <Discipline Rules>
-auto AdmissionQueue<Rules>::take(WorkKey const& key, Core::MonotonicTime now) -> Waiting
+auto AdmissionQueue<Rules>::remove(AttemptKey const& key, Core::MonotonicTime now) -> Waiting
 {
     auto node = m_waiting.extract(key);
     auto& waiting = node.mapped();
@@ -382,13 +382,13 @@
 }
 
 template <Discipline Rules>
-std::optional<WorkKey> AdmissionQueue<Rules>::first_by_floor(Core::MonotonicTime now)
+std::optional<AttemptKey> AdmissionQueue<Rules>::first_by_floor(Core::MonotonicTime now)
 {
     if constexpr (!Rules::has_floors)
         return std::nullopt;
     ClassState* most_owed = nullptr;
     for (auto& [name, state] : m_classes) {
-        if (state.waiting.empty() || state.floor_running >= state.floor.largest_running_count())
+        if (state.waiting.empty() || state.floor_running >= state.floor.max_running())
             continue;
         state.floor.update(now);
         bool const is_more_owed = most_owed == nullptr || state.floor.balance() > most_owed->floor.balance();
@@ -401,20 +401,20 @@
 }
 
 template <Discipline Rules>
-std::optional<WorkKey> AdmissionQueue<Rules>::first_by_order(unsigned held) const
+std::optional<AttemptKey> AdmissionQueue<Rules>::first_by_order(unsigned reserved) const
 {
     for (unsigned tier = 1; tier <= s_tier_count; ++tier) {
         auto const& waiting = m_tiers[tier - 1].waiting;
-        if (!waiting.empty() && free_slots_for(tier, held) > 0)
+        if (!waiting.empty() && free_slots_for(tier, reserved) > 0)
             return waiting.begin()->second;
     }
     return std::nullopt;
 }
 
 template <Discipline Rules>
-Start AdmissionQueue<Rules>::start(WorkKey const& key, StartReason reason, Core::MonotonicTime now)
+Start AdmissionQueue<Rules>::start(AttemptKey const& key, StartReason reason, Core::MonotonicTime now)
 {
-    auto waiting = take(key, now);
+    auto waiting = remove(key, now);
     m_tiers[tier_of(waiting.work) - 1].fair_share.start(waiting.entered_at, waiting.lead);
     Start start {waiting.work, reason};
     auto& state = class_state(waiting.work);
@@ -434,9 +434,9 @@
 {
     if (free_slots() == 0 || m_waiting.empty())
         return std::nullopt;
-    auto const by_order = first_by_order(held_slots(now));
+    auto const by_order = first_by_order(reserved_slots(now));
     auto const by_floor = first_by_floor(now);
-    // What the order starts anyway costs the floor nothing.
+    // A start by order is not charged to the floor.
     if (by_floor && by_floor != by_order)
         return start(*by_floor, StartReason::Floor, now);
     if (by_order)
@@ -445,12 +445,12 @@
 }
 
 template <Discipline Rules>
-void AdmissionQueue<Rules>::finish(WorkKey const& key, Core::MonotonicTime now)
+void AdmissionQueue<Rules>::finish(AttemptKey const& key, Core::MonotonicTime now)
 {
     auto const found = m_running.find(key);
     if (found == m_running.end())
         return;
-    leave_slot(found->second, now);
+    release_slot(found->second, now);
     auto const milliseconds = std::chrono::duration<double, std::milli>(now - found->second.started).count();
     if (m_mean_service_milliseconds == 0)
         m_mean_service_milliseconds = milliseconds;
@@ -459,20 +459,20 @@
 }
 
 template <Discipline Rules>
-void AdmissionQueue<Rules>::leave_slot(Running const& running, Core::MonotonicTime now)
+void AdmissionQueue<Rules>::release_slot(Running const& running, Core::MonotonicTime now)
 {
     m_suspending_count -= running.is_being_suspended ? 1 : 0;
     if (!running.charged)
         return;
-    auto& state = class_state(running.place.work);
+    auto& state = class_state(running.queue_entry.work);
     state.floor.settle(*running.charged, std::chrono::duration_cast<FloorAccount::SlotTime>(now - running.started));
     --state.floor_running;
 }
 
 template <Discipline Rules>
-bool AdmissionQueue<Rules>::is_about_to_miss(Work const& work, Core::MonotonicTime now) const
+bool AdmissionQueue<Rules>::is_about_to_miss_target(Work const& work, Core::MonotonicTime now) const
 {
-    // A slot gets free by itself about this often.
+    // Mean time between two slots becoming free.
     Core::Milliseconds const next_slot(static_cast<std::int64_t>(m_mean_service_milliseconds / m_limits.slots));
     return now + next_slot + work.expected_first_token >= work.target;
 }
@@ -482,22 +482,22 @@
 {
     Running* victim = nullptr;
     for (auto& [key, running] : m_running) {
-        auto const& work = running.place.work;
-        // What a floor started keeps its slot: it is what the floor is for.
+        auto const& work = running.queue_entry.work;
+        // Attempts started by a floor are not preempted, since this would defeat the floor.
         bool const is_eligible = work.tier > tier && work.is_preemptible && !running.charged
-            && !running.is_being_suspended && running.place.suspensions < s_most_suspensions;
+            && !running.is_being_suspended && running.queue_entry.suspensions < s_max_suspensions;
         if (!is_eligible)
             continue;
-        // The lowest tier first, and there what started last.
+        // Prefer the lowest tier, then the attempt that started last.
         auto const rank = std::pair(work.tier, running.started);
-        if (victim == nullptr || rank > std::pair(victim->place.work.tier, victim->started))
+        if (victim == nullptr || rank > std::pair(victim->queue_entry.work.tier, victim->started))
             victim = &running;
     }
     return victim;
 }
 
 template <Discipline Rules>
-std::optional<WorkKey> AdmissionQueue<Rules>::next_preemption(Core::MonotonicTime now)
+std::optional<AttemptKey> AdmissionQueue<Rules>::next_preemption(Core::MonotonicTime now)
 {
     if (!Rules::has_preemption || free_slots() > 0)
         return std::nullopt;
@@ -505,44 +505,44 @@
         auto const& waiting = m_tiers[tier - 1].waiting;
         if (waiting.empty())
             continue;
-        // Each suspension under way is for one of those that wait here.
+        // Each suspension in progress frees a slot for one of the waiting attempts of this tier.
         if (m_suspending_count >= waiting.size())
             return std::nullopt;
         auto const& next = *std::next(waiting.begin(), static_cast<std::ptrdiff_t>(m_suspending_count));
-        if (!is_about_to_miss(m_waiting.at(next.second).work, now))
+        if (!is_about_to_miss_target(m_waiting.at(next.second).work, now))
             return std::nullopt;
         auto* victim = choose_victim(tier);
         if (victim == nullptr)
             return std::nullopt;
         victim->is_being_suspended = true;
         ++m_suspending_count;
-        return victim->place.work.key;
+        return victim->queue_entry.work.key;
     }
     return std::nullopt;
 }
 
 template <Discipline Rules>
-void AdmissionQueue<Rules>::suspend(WorkKey const& key, Core::MonotonicTime now)
+void AdmissionQueue<Rules>::suspend(AttemptKey const& key, Core::MonotonicTime now)
 {
     auto const found = m_running.find(key);
     if (found == m_running.end())
         return;
-    leave_slot(found->second, now);
-    auto waiting = std::move(found->second.place);
+    release_slot(found->second, now);
+    auto waiting = std::move(found->second.queue_entry);
     m_running.erase(found);
     waiting.is_suspended = true;
     ++waiting.suspensions;
-    // It has begun, so that no limit on waiting holds for it any more.
+    // Limits on the waiting time apply only before the first start.
     waiting.expires = Core::MonotonicTime::max();
     insert(std::move(waiting), now);
 }
 
 template <Discipline Rules>
-std::optional<Work> AdmissionQueue<Rules>::withdraw(WorkKey const& key, Core::MonotonicTime now)
+std::optional<Work> AdmissionQueue<Rules>::withdraw(AttemptKey const& key, Core::MonotonicTime now)
 {
     if (!m_waiting.contains(key))
         return std::nullopt;
-    return take(key, now).work;
+    return remove(key, now).work;
 }
 
 template <Discipline Rules>
@@ -551,8 +551,8 @@
     std::vector<Expiry> expired;
     while (!m_expiries.empty() && m_expiries.begin()->first <= now) {
         auto const key = m_expiries.begin()->second;
-        auto work = take(key, now).work;
-        auto const refusal = work.give_up <= now ? Refusal::GaveUp : Refusal::TargetOutOfReach;
+        auto work = remove(key, now).work;
+        auto const refusal = work.start_deadline <= now ? Refusal::Deadline : Refusal::TargetOutOfReach;
         class_state(work).floor.note_unmet_demand(now);
         expired.push_back({std::move(work), refusal});
     }
@@ -560,7 +560,7 @@
 }
 
 template <Discipline Rules>
-std::optional<Core::MonotonicTime> AdmissionQueue<Rules>::next_wake() const
+std::optional<Core::MonotonicTime> AdmissionQueue<Rules>::next_wakeup() const
 {
     std::optional<Core::MonotonicTime> wake;
     if (!m_expiries.empty() && m_expiries.begin()->first != Core::MonotonicTime::max())
@@ -577,7 +577,7 @@
 std::size_t AdmissionQueue<Rules>::waiting_count(std::string const& request_class) const
 {
     auto const found = m_classes.find(request_class);
-    return found == m_classes.end() ? 0 : found->second.waiting.size();
+    return found == m_classes.end() ? 0 : found->second.queue_entry.size();
 }
 
 }
--- a/Libraries/LibPolicy/BackendChooser.cpp
+++ b/Libraries/LibPolicy/BackendChooser.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::int64_t s_bytes_per_kilobyte = 1024;
 
-std::size_t preferred_for_prefix(std::uint64_t prefix_hash, std::span<BackendView const> candidates)
+std::size_t choose_by_prefix(std::uint64_t prefix_hash, std::span<BackendView const> candidates)
 {
     std::size_t best = 0;
     std::uint64_t best_weight = 0;
@@ -22,15 +22,15 @@
     return best;
 }
 
-/// Calls `cost` for each candidate, from another first one at each call so that equals share the work,
-/// and gives the index of the least.
+/// Returns the index with the lowest cost. Among equal costs the first one from `first` on wins, so that a different
+/// `first` for each call distributes the load.
 template <typename Cost>
-std::size_t least_by(std::size_t count, std::uint64_t turn, Cost cost)
+std::size_t index_of_min(std::size_t count, std::uint64_t first, Cost cost)
 {
-    auto best = turn % count;
+    auto best = first % count;
     auto best_cost = cost(best);
     for (std::size_t step = 1; step < count; ++step) {
-        auto const index = (turn + step) % count;
+        auto const index = (first + step) % count;
         auto const own_cost = cost(index);
         if (own_cost < best_cost) {
             best = index;
@@ -68,7 +68,7 @@
 {
     std::optional<std::size_t> preferred;
     if (query.prefix_hash != 0)
-        preferred = preferred_for_prefix(query.prefix_hash, candidates);
+        preferred = choose_by_prefix(query.prefix_hash, candidates);
     Core::Microseconds const missed_prefix_cost = Core::Microseconds(m_missed_prefix_cost_per_kilobyte)
         * static_cast<std::int64_t>(query.prompt_bytes) / s_bytes_per_kilobyte;
     auto const cost = [&](std::size_t index) {
@@ -76,16 +76,16 @@
         Core::Microseconds total = predicted_wait(backend, query.tier) + backend.mean_first_token;
         if (preferred && *preferred != index)
             total += missed_prefix_cost;
-        // Among equals the emptier one comes first.
+        // Ties are broken by the current load, in percent of the slots.
         auto const load = (backend.running + backend.open) * 100U / std::max(backend.slots, 1U);
         return std::pair(total, load);
     };
-    return least_by(candidates.size(), m_turn++, cost);
+    return index_of_min(candidates.size(), m_rotation++, cost);
 }
 
 std::size_t LeastOutstandingChooser::choose(ChoiceQuery const&, std::span<BackendView const> candidates)
 {
-    return least_by(candidates.size(), m_turn++, [&](std::size_t index) { return candidates[index].open; });
+    return index_of_min(candidates.size(), m_rotation++, [&](std::size_t index) { return candidates[index].open; });
 }
 
 }
--- a/Libraries/LibPolicy/BackendChooser.h
+++ b/Libraries/LibPolicy/BackendChooser.h
@@ -14,33 +14,32 @@
 
 namespace GraniteField::Policy {
 
-/// What an entry knows of a backend server: its last load report, and what was sent there since.
+/// State of a backend server as an entry knows it: the last load report and the attempts sent since.
 struct BackendView {
-    /// The backend server's name; it seeds the rendezvous hash.
+    /// Name of the backend server, hashed for rendezvous hashing.
     std::string_view name;
     unsigned slots {1};
     unsigned running {0};
     unsigned headroom_slots {0};
     std::array<unsigned, s_tier_count> waiting_by_tier {};
-    /// Sent by this entry and not yet part of a load report.
+    /// Attempts of this entry that no load report includes yet.
     std::array<unsigned, s_tier_count> sent_by_tier {};
-    /// Open attempts of this entry there.
+    /// Number of open attempts of this entry at the server.
     unsigned open {0};
     Core::Milliseconds mean_service {0};
     Core::Milliseconds mean_first_token {0};
 };
 
-/// What the choice needs to know of the request.
+/// Properties of the request that the choice depends on.
 struct ChoiceQuery {
     unsigned tier {s_tier_count};
-    /// Hash of the prompt's prefix; 0 when a warm cache does not matter.
+    /// Hash of the prompt's prefix; 0 if prefix caching is not considered.
     std::uint64_t prefix_hash {0};
-    /// Size of the prompt; what a cold cache costs grows with it.
+    /// Size of the prompt, in bytes. The cost of a cache miss is proportional to it.
     std::size_t prompt_bytes {0};
 };
 
-/// A way to choose one of several backend servers. `choose` gives an index into the candidates, which
-/// are never empty.
+/// Strategy for the choice of a backend server. `choose` returns an index into the candidates, which are never empty.
 template <typename Candidate>
 concept BackendChooser = requires(Candidate chooser, ChoiceQuery const& query, std::span<BackendView const> candidates)
 {
@@ -49,11 +48,11 @@
         } -> std::same_as<std::size_t>;
 };
 
-/// How long an attempt of the tier would wait at the backend server.
+/// Predicted wait of a new attempt of the tier at the backend server.
 [[nodiscard]] Core::Microseconds predicted_wait(BackendView const&, unsigned tier);
 
-/// The backend server where the first token is expected soonest, with a preference for the one that has
-/// probably seen the prefix: worth the time that a missed prefix costs, and no more.
+/// Chooses the backend server with the earliest predicted first token. The server that has probably cached the prefix
+/// is preferred by the predicted cost of a cache miss.
 class PredictedWaitChooser {
 public:
     explicit PredictedWaitChooser(Core::Milliseconds missed_prefix_cost_per_kilobyte)
@@ -65,28 +64,28 @@
 
 private:
     Core::Milliseconds m_missed_prefix_cost_per_kilobyte;
-    std::uint64_t m_turn {0};
+    std::uint64_t m_rotation {0};
 };
 
-/// Baseline: each in turn.
+/// Baseline: round robin.
 class RoundRobinChooser {
 public:
     [[nodiscard]] std::size_t choose(ChoiceQuery const&, std::span<BackendView const> candidates)
     {
-        return m_turn++ % candidates.size();
+        return m_rotation++ % candidates.size();
     }
 
 private:
-    std::uint64_t m_turn {0};
+    std::uint64_t m_rotation {0};
 };
 
-/// Baseline: the one with the fewest open attempts of this entry.
+/// Baseline: the server with the fewest open attempts of this entry.
 class LeastOutstandingChooser {
 public:
     [[nodiscard]] std::size_t choose(ChoiceQuery const&, std::span<BackendView const>);
 
 private:
-    std::uint64_t m_turn {0};
+    std::uint64_t m_rotation {0};
 };
 
 }
--- a/Libraries/LibPolicy/Discipline.h
+++ b/Libraries/LibPolicy/Discipline.h
@@ -4,16 +4,15 @@
 
 namespace GraniteField::Policy {
 
-/// How a queue orders its work. The product runs TieredDiscipline; the others are the baselines that it
-/// is measured against.
+/// Queueing discipline. The daemon uses TieredDiscipline by default; the others are baselines for comparison.
 template <typename Candidate>
 concept Discipline
     = std::same_as<decltype(Candidate::has_tiers), bool const> && std::same_as<decltype(Candidate::has_floors),
         bool const> && std::same_as<decltype(Candidate::has_deadlines),
         bool const> && std::same_as<decltype(Candidate::has_preemption), bool const>;
 
-/// Tiers strictly first, floors for every class, deadlines and weights inside a tier, and suspension of lower
-/// tiers for what would miss its target.
+/// Strict priority of tiers, floors for classes, deadlines and weights inside a tier, and preemption of lower tiers
+/// for attempts that would miss their target.
 struct TieredDiscipline {
     static constexpr bool has_tiers = true;
     static constexpr bool has_floors = true;
@@ -21,7 +20,7 @@
     static constexpr bool has_preemption = true;
 };
 
-/// Tiers strictly first and nothing else.
+/// Strict priority of tiers only.
 struct BareTierDiscipline {
     static constexpr bool has_tiers = true;
     static constexpr bool has_floors = false;
--- a/Libraries/LibPolicy/FairShare.h
+++ b/Libraries/LibPolicy/FairShare.h
@@ -9,22 +9,22 @@
 
 namespace GraniteField::Policy {
 
-/// Start-time fair queueing over flows (a class and a workspace) of one tier.
+/// Start-time fair queueing over the flows of one tier. A flow is a class and a workspace.
 ///
-/// Each attempt gets a start tag; a flow that asks for more than its weight runs ahead of the tier's
-/// virtual time. How far it is ahead is added to its attempts' deadlines, so that inside its share a
-/// flow is served by deadline alone, and beyond it the others come first.
+/// Each attempt gets a start tag. The tags of a flow that requests more than its weight run ahead of the tier's
+/// virtual time. This lead is added to the deadlines of its attempts: within its share a flow is ordered by deadline
+/// alone, beyond it other flows come first.
 class FairShare {
 public:
     using VirtualTime = std::chrono::duration<double>;
 
-    /// Flows that are remembered; the ones that are not ahead are forgotten first.
-    static constexpr std::size_t s_largest_flow_count = 16'384;
+    /// Maximum number of remembered flows. Flows without a lead are dropped first.
+    static constexpr std::size_t s_max_flows = 16'384;
 
-    /// Enters an attempt and says how far its flow is ahead of its share.
+    /// Adds an attempt and returns the lead of its flow.
     [[nodiscard]] VirtualTime enter(std::string const& flow, unsigned weight, Core::Milliseconds expected_service)
     {
-        if (m_finish_tags.size() >= s_largest_flow_count)
+        if (m_finish_tags.size() >= s_max_flows)
             forget_idle_flows();
         auto& finish_tag = m_finish_tags[flow];
         auto const start_tag = std::max(finish_tag, m_virtual_time);
@@ -32,7 +32,7 @@
         return start_tag - m_virtual_time;
     }
 
-    /// An attempt that was this far ahead when it entered at `entered_at` starts to run.
+    /// Advances the virtual time when an attempt starts that was added at `entered_at` with that lead.
     void start(VirtualTime entered_at, VirtualTime lead)
     {
         m_virtual_time = std::max(m_virtual_time, entered_at + lead);
@@ -44,7 +44,7 @@
     void forget_idle_flows()
     {
         absl::erase_if(m_finish_tags, [this](auto const& flow) { return flow.second <= m_virtual_time; });
-        if (m_finish_tags.size() >= s_largest_flow_count)
+        if (m_finish_tags.size() >= s_max_flows)
             m_finish_tags.clear();
     }
 
--- a/Libraries/LibPolicy/FleetRetryBudget.h
+++ b/Libraries/LibPolicy/FleetRetryBudget.h
@@ -9,26 +9,28 @@
 
 namespace GraniteField::Policy {
 
-/// What the whole fleet may send to a service beyond the first send of each request, in any window of time.
+/// Repeated sends that the whole fleet may make to a service in any time window.
 struct RetryAllowance {
-    /// Repeated sends for each request.
+    /// Repeated sends allowed per request.
     double ratio {0.1};
-    /// Repeated sends of the whole fleet that no request has to earn, in each window.
+    /// Repeated sends of the whole fleet in each window that are allowed in addition, whatever the number of requests.
     double slack {50};
     Core::Milliseconds window {10'000};
 };
 
-/// One entry's part of the fleet's retry allowance for one service. It earns by the entry's own requests of the last
-/// window, all of which may be spent at once, and takes an equal part of the slack among the entries known; so the sum
-/// over the fleet stays inside the allowance without any exchange. For one thread.
+/// One gateway's share of the fleet's retry allowance for one service. It consists of the allowance earned by the
+/// gateway's own requests in the last window, all of which may be spent at once, and an equal share of the slack among
+/// the known gateways. The sum over the fleet thus stays within the allowance without any communication. For one
+/// thread.
 ///
-/// A fault asks for everything at one moment, so that an entry may save up what its requests have earned.
+/// A fault causes all retries at one moment, so a gateway may save up what its requests have earned.
 class FleetRetryBudget {
 public:
-    /// Part of the allowance that is used, so that late arrivals and entries not yet known stay inside it.
-    static constexpr double s_used_part = 0.7;
-    /// Entries that share the slack at least: a new process knows nobody.
-    static constexpr std::size_t s_least_entries = 8;
+    /// Fraction of the allowance that is used, so that late arrivals and gateways that are not known yet stay within
+    /// it.
+    static constexpr double s_used_fraction = 0.7;
+    /// Minimum number of gateways among which the slack is divided, since a new process knows no others.
+    static constexpr std::size_t s_min_entries = 8;
 
     explicit FleetRetryBudget(RetryAllowance allowance)
         : m_allowance(allowance)
@@ -36,11 +38,11 @@
     }
 
     void set_allowance(RetryAllowance allowance) { m_allowance = allowance; }
-    void set_entry_count(std::size_t count) { m_entry_count = std::max(count, s_least_entries); }
+    void set_entry_count(std::size_t count) { m_entry_count = std::max(count, s_min_entries); }
 
     void note_first_send(Core::MonotonicTime now) { ++slice_at(now).first_sends; }
 
-    /// Takes one repeated send from the budget, or says that there is none.
+    /// Spends one repeated send. Returns whether the budget allowed it.
     [[nodiscard]] bool try_spend(Core::MonotonicTime now)
     {
         auto& slice = slice_at(now);
@@ -55,18 +57,18 @@
         return true;
     }
 
-    /// What may be spent at this moment.
+    /// Number of repeated sends that are available now.
     [[nodiscard]] double balance() const { return std::max(0.0, earned()) + m_slack; }
 
 private:
-    /// Parts in which a window is counted.
+    /// Number of slices of a window.
     static constexpr std::int64_t s_slices = 20;
 
-    /// What happened in a part of a window.
+    /// Counts of one slice of the window.
     struct Slice {
         std::int64_t number {0};
         unsigned first_sends {0};
-        /// Repeated sends that were paid with what the first ones earn.
+        /// Repeated sends charged to the earned allowance.
         unsigned spent {0};
     };
 
@@ -80,7 +82,8 @@
         return m_window.back();
     }
 
-    /// Counts first sends of no more than a window and repeated ones of no less, so that it holds for any window.
+    /// Counts the first sends of at most one window and the repeated ones of at least one, so that the limit holds for
+    /// any window.
     [[nodiscard]] double earned() const
     {
         if (m_window.empty())
@@ -88,19 +91,19 @@
         double sum = 0;
         for (auto const& slice : m_window) {
             bool const is_whole = slice.number > m_window.back().number - s_slices;
-            sum += is_whole ? m_allowance.ratio * s_used_part * slice.first_sends : 0;
+            sum += is_whole ? m_allowance.ratio * s_used_fraction * slice.first_sends : 0;
             sum -= slice.spent;
         }
         return sum;
     }
 
-    /// A full balance and one window's refill are both spent in one window at worst, so each gets half.
-    [[nodiscard]] double slack_part() const
+    /// In the worst case a full balance and one window's refill are spent in the same window, so each gets half.
+    [[nodiscard]] double slack_share() const
     {
-        return m_allowance.slack * s_used_part / static_cast<double>(m_entry_count) / 2;
+        return m_allowance.slack * s_used_fraction / static_cast<double>(m_entry_count) / 2;
     }
 
-    [[nodiscard]] double capacity() const { return std::max(1.0, slack_part()); }
+    [[nodiscard]] double capacity() const { return std::max(1.0, slack_share()); }
 
     void refill(Core::MonotonicTime now)
     {
@@ -108,13 +111,13 @@
             m_last_refill = now;
         std::chrono::duration<double> const passed = now - m_last_refill;
         std::chrono::duration<double> const window = m_allowance.window;
-        m_slack = std::min(capacity(), m_slack + slack_part() * passed.count() / window.count());
+        m_slack = std::min(capacity(), m_slack + slack_share() * passed.count() / window.count());
         m_last_refill = now;
     }
 
     RetryAllowance m_allowance;
-    std::size_t m_entry_count {s_least_entries};
-    /// A process that restarts often must not spend a full balance each time.
+    std::size_t m_entry_count {s_min_entries};
+    /// Starts low, so that a process that restarts often does not spend a full balance each time.
     double m_slack {1};
     std::deque<Slice> m_window;
     Core::MonotonicTime m_last_refill;
--- a/Libraries/LibPolicy/FloorAccount.cpp
+++ b/Libraries/LibPolicy/FloorAccount.cpp
@@ -28,7 +28,7 @@
 
 bool FloorAccount::has_demand(Core::MonotonicTime now) const
 {
-    return m_has_waiting || (m_unmet_demand && now - *m_unmet_demand < s_demand_memory);
+    return m_has_waiting || (m_unmet_demand && now - *m_unmet_demand < s_demand_retention);
 }
 
 void FloorAccount::update(Core::MonotonicTime now)
@@ -42,10 +42,10 @@
     if (m_hold_start)
         m_balance -= elapsed;
     m_balance += elapsed * m_share_slots;
-    // A debt is worked off also while nothing waits; only what is owed to the class needs demand.
+    // Debt is also repaid while there is no demand; only a positive balance requires demand.
     if (!has_demand(now))
         m_balance = std::min(m_balance, SlotTime(0));
-    m_balance = std::min(m_balance, SlotTime(s_earning_cap) * m_share_slots);
+    m_balance = std::min(m_balance, SlotTime(s_max_earning_time) * m_share_slots);
 }
 
 bool FloorAccount::is_holding_slot(Core::MonotonicTime now, bool has_free_slot)
@@ -57,9 +57,9 @@
     }
     if (!m_hold_start)
         m_hold_start = now;
-    if (now - *m_hold_start < s_longest_hold)
+    if (now - *m_hold_start < s_max_hold)
         return true;
-    // Nobody came. The demand counts as gone until the next refusal.
+    // No work arrived during the hold. The demand has ended until the next refusal.
     m_hold_start.reset();
     m_unmet_demand.reset();
     return false;
@@ -69,7 +69,7 @@
 {
     if (!m_hold_start)
         return std::nullopt;
-    return *m_hold_start + s_longest_hold;
+    return *m_hold_start + s_max_hold;
 }
 
 }
--- a/Libraries/LibPolicy/FloorAccount.h
+++ b/Libraries/LibPolicy/FloorAccount.h
@@ -7,47 +7,46 @@
 
 namespace GraniteField::Policy {
 
-/// What a backend server owes to one class by its floor, in slot-time.
+/// Slot time that a backend server owes to one class under its floor.
 ///
-/// While the class has work that does not run, the account earns its share of all slots. A start that
-/// the floor alone brought about is paid from the account, first as predicted and then as it was. A
-/// class that wants nothing earns nothing, so a floor can't be saved up for a burst of its own.
+/// While the class has waiting work, the account earns the class's share of all slots. A start that happened only
+/// because of the floor is charged to the account, first as predicted and then as measured. A class without demand
+/// earns nothing, so a floor cannot be saved up for a burst.
 ///
-/// When the class's waiting work was displaced or refused and the account is owed something, a free slot
-/// is held for the class for at most s_longest_hold, paid from the account, so that displacement can't
-/// starve the class.
+/// If waiting work of the class was displaced or refused and the balance is positive, a free slot is held for the
+/// class for at most s_max_hold and charged to the account, so that displacement cannot starve the class.
 class FloorAccount {
 public:
     using SlotTime = std::chrono::duration<double>;
 
-    static constexpr Core::Milliseconds s_longest_hold {200};
-    /// How long a refusal counts as demand that is still there.
-    static constexpr Core::Milliseconds s_demand_memory {2'000};
-    /// The account earns no more than the floor of this time.
-    static constexpr std::chrono::seconds s_earning_cap {10};
+    static constexpr Core::Milliseconds s_max_hold {200};
+    /// Time for which a refusal counts as demand.
+    static constexpr Core::Milliseconds s_demand_retention {2'000};
+    /// The balance is limited to the class's share of the slots during this time.
+    static constexpr std::chrono::seconds s_max_earning_time {10};
 
     void set_share(double slots) { m_share_slots = slots; }
 
     void note_waiting(Core::MonotonicTime, bool has_waiting);
     /// Work of the class was displaced or refused.
     void note_unmet_demand(Core::MonotonicTime);
-    /// The floor started work that should hold a slot this long.
+    /// Charges work that the floor started, by its predicted slot time.
     void charge(SlotTime expected);
-    /// The work that charge() was for held the slot this long.
+    /// Corrects an earlier charge to the actual slot time.
     void settle(SlotTime expected, SlotTime actual);
 
-    /// Earns up to now.
+    /// Credits the time up to now.
     void update(Core::MonotonicTime now);
     [[nodiscard]] bool is_owed() const { return m_share_slots > 0 && m_balance.count() > 0; }
     [[nodiscard]] SlotTime balance() const { return m_balance; }
-    /// Slots that work started by the floor may hold at once: the share, rounded up.
-    [[nodiscard]] unsigned largest_running_count() const { return static_cast<unsigned>(std::ceil(m_share_slots)); }
+    /// Maximum number of slots held at once by work that the floor started: the share, rounded up.
+    [[nodiscard]] unsigned max_running() const { return static_cast<unsigned>(std::ceil(m_share_slots)); }
 
-    /// Whether a free slot is kept for the class now. Begins and ends the hold. Call update() first.
+    /// Whether a free slot is held for the class now. Starts and ends the hold. Call update() first.
     [[nodiscard]] bool is_holding_slot(Core::MonotonicTime now, bool has_free_slot);
-    /// When a running hold ends.
+    /// End of the current hold, or nullopt.
     [[nodiscard]] std::optional<Core::MonotonicTime> hold_end() const;
-    /// The class took the slot that was held.
+    /// Ends the hold because the class started work.
     void end_hold() { m_hold_start.reset(); }
 
 private:
--- a/Libraries/LibPolicy/RetryBudget.h
+++ b/Libraries/LibPolicy/RetryBudget.h
@@ -4,18 +4,18 @@
 
 namespace GraniteField::Policy {
 
-/// Retries as a share of the traffic. A number of tries for each request alone would multiply the load
-/// just when there is too much of it.
+/// Limits retries to a fraction of the requests. A limit on the attempts of each request alone would multiply the load
+/// under overload.
 class RetryBudget {
 public:
-    /// Retries that each first try earns.
+    /// Retries that each first attempt earns.
     static constexpr double s_share = 0.1;
-    /// Retries that may be saved up; also what a new process starts with.
+    /// Maximum balance, and the initial balance of a new process.
     static constexpr double s_reserve = 50;
 
     void note_first_try() { m_balance = std::min(m_balance + s_share, s_reserve); }
 
-    /// Takes one retry from the budget, or says that there is none.
+    /// Spends one retry. Returns whether the budget allowed it.
     [[nodiscard]] bool try_spend()
     {
         if (m_balance < 1)
--- a/Libraries/LibPolicy/ServicePredictor.h
+++ b/Libraries/LibPolicy/ServicePredictor.h
@@ -9,19 +9,20 @@
 
 namespace GraniteField::Policy {
 
-/// How long answers take, learned from past ones. An answer's length is not known in advance; what the
-/// class and the workspace had lately is the best guess, then the class alone, then everything.
+/// Predicts the service time of answers from past ones. The length of an answer is not known in advance; the
+/// prediction is the recent mean of the class and workspace, of the class if there are too few samples, or of all
+/// answers.
 class ServicePredictor {
 public:
     struct Prediction {
-        /// How long a slot is held.
+        /// Time for which a slot is held.
         Core::Milliseconds service {0};
-        /// From the start to the first token.
+        /// Time from the start to the first token.
         Core::Milliseconds first_token {0};
     };
 
-    /// Flows that are remembered. What comes beyond is predicted from its class.
-    static constexpr std::size_t s_largest_flow_count = 8192;
+    /// Maximum number of remembered flows. Others are predicted from their class.
+    static constexpr std::size_t s_max_flows = 8192;
 
     void record(std::string const& request_class, std::string const& workspace, Prediction const& actual)
     {
@@ -34,7 +35,7 @@
     {
         for (auto const& key : {flow_of(request_class, workspace), request_class}) {
             auto const found = m_means.find(key);
-            if (found != m_means.end() && found->second.count >= s_enough_answers)
+            if (found != m_means.end() && found->second.count >= s_min_answers)
                 return found->second.prediction();
         }
         return m_all.prediction();
@@ -48,7 +49,7 @@
         return Core::concat(request_class, "/", workspace);
     }
 
-    static constexpr unsigned s_enough_answers = 5;
+    static constexpr unsigned s_min_answers = 5;
     static constexpr double s_gain = 0.1;
 
     struct Mean {
@@ -59,7 +60,7 @@
         void add(Prediction const& actual)
         {
             ++count;
-            // The first answers count in full, so that the mean does not start at zero.
+            // Plain mean of the first answers, so that the estimate does not start at zero.
             auto const gain = std::max(s_gain, 1.0 / count);
             service += gain * (static_cast<double>(actual.service.count()) - service);
             first_token += gain * (static_cast<double>(actual.first_token.count()) - first_token);
@@ -74,7 +75,7 @@
 
     void add(std::string const& key, Prediction const& actual)
     {
-        if (m_means.size() >= s_largest_flow_count && !m_means.contains(key))
+        if (m_means.size() >= s_max_flows && !m_means.contains(key))
             return;
         m_means[key].add(actual);
     }
--- a/Libraries/LibPolicy/TokenBucket.h
+++ b/Libraries/LibPolicy/TokenBucket.h
@@ -7,8 +7,8 @@
 
 namespace GraniteField::Policy {
 
-/// A rate with a burst. What is spent beyond it is a debt that has to be worked off first, so that
-/// costs that are only known afterwards (generated tokens) can be charged as they were.
+/// Token bucket that can be overdrawn: costs that are known only afterwards (generated tokens) are charged in full,
+/// and the resulting debt must be repaid before more can be spent.
 class TokenBucket {
 public:
     TokenBucket() = default;
@@ -19,7 +19,7 @@
     {
     }
 
-    /// Takes a new rate and burst and keeps the debt.
+    /// Sets a new rate and burst and keeps the debt.
     void set_rate(double rate_per_second, double burst)
     {
         m_rate = rate_per_second;
@@ -33,22 +33,22 @@
         m_level -= amount;
     }
 
-    /// How long until an amount can be spent; zero when it can be now.
+    /// Returns the time until the amount can be spent, or zero if it can be spent now.
     [[nodiscard]] Core::Milliseconds wait_for(double amount, Core::MonotonicTime now)
     {
         update(now);
-        // More than the burst never gathers, so the burst has to be enough.
+        // The level never exceeds the burst, so larger amounts need only the full burst.
         auto const missing = std::min(amount, m_burst) - m_level;
         if (missing <= 0)
             return Core::Milliseconds(0);
         auto const milliseconds = missing / m_rate * 1000;
-        return Core::Milliseconds(static_cast<std::int64_t>(std::min(milliseconds, s_longest_wait_milliseconds)) + 1);
+        return Core::Milliseconds(static_cast<std::int64_t>(std::min(milliseconds, s_max_wait_milliseconds)) + 1);
     }
 
     [[nodiscard]] double level() const { return m_level; }
 
 private:
-    static constexpr double s_longest_wait_milliseconds = 3'600'000;
+    static constexpr double s_max_wait_milliseconds = 3'600'000;
 
     void update(Core::MonotonicTime now)
     {
--- a/Libraries/LibPolicy/Work.h
+++ b/Libraries/LibPolicy/Work.h
@@ -9,57 +9,57 @@
 namespace GraniteField::Policy {
 
 inline constexpr unsigned s_tier_count = 6;
-/// The tier that may use the headroom.
+/// Tier that may use the headroom.
 inline constexpr unsigned s_urgent_tier = 1;
 
 /// One attempt to run a request at one backend server.
-struct WorkKey {
+struct AttemptKey {
     Core::RequestId request;
     Core::AttemptNumber attempt;
 
-    auto operator<=>(WorkKey const&) const = default;
+    auto operator<=>(AttemptKey const&) const = default;
 
     template <typename Hash>
-    friend Hash AbslHashValue(Hash state, WorkKey const& key)
+    friend Hash AbslHashValue(Hash state, AttemptKey const& key)
     {
         return Hash::combine(std::move(state), key.request, key.attempt);
     }
 };
 
-/// What the queue of a backend server has to know of an attempt.
+/// An attempt as the queue of a backend server sees it.
 struct Work {
-    WorkKey key;
-    /// 1 (served first) to 6.
+    AttemptKey key;
+    /// From 1 (highest) to 6.
     unsigned tier {s_tier_count};
     std::string request_class;
     unsigned class_weight {1};
     unsigned floor_percent {0};
-    /// Waiting attempts of the class; 0 sets no limit.
+    /// Maximum number of waiting attempts of the class; 0 means no limit.
     unsigned class_queue_limit {0};
     std::string workspace;
     unsigned workspace_weight {1};
-    /// When the first token is due by the class's target.
+    /// Time by which the first token is due according to the class's target.
     Core::MonotonicTime target;
-    /// When the request is given up on if it has not begun.
-    Core::MonotonicTime give_up;
-    /// Refuse it once its target is out of reach.
+    /// Time at which the attempt is abandoned if it has not started.
+    Core::MonotonicTime start_deadline;
+    /// Whether to refuse the attempt once its target cannot be met.
     bool should_refuse_late {false};
     bool is_repeatable {true};
-    /// It may be suspended for a higher tier, since the backend server goes on with it where it stopped.
+    /// Whether the attempt may be suspended for a higher tier. The backend server resumes it where it stopped.
     bool is_preemptible {false};
-    /// How long it will hold a slot, by past answers.
+    /// Predicted slot time.
     Core::Milliseconds expected_service {0};
-    /// From its start to its first token, by past answers.
+    /// Predicted time from the start to the first token.
     Core::Milliseconds expected_first_token {0};
 };
 
-/// Why an attempt is not taken, or not kept.
+/// Why an attempt is not queued, or is removed from the queue.
 enum class Refusal {
     QueueFull,
     ClassQueueFull,
     Displaced,
     TargetOutOfReach,
-    GaveUp,
+    Deadline,
 };
 
 }
--- a/Libraries/LibProtocol/Conversions.h
+++ b/Libraries/LibProtocol/Conversions.h
@@ -34,13 +34,13 @@
 
 /// The request and attempt that any message about an attempt names.
 template <typename Body>
-[[nodiscard]] Policy::WorkKey key_of(Body const& body)
+[[nodiscard]] Policy::AttemptKey key_of(Body const& body)
 {
     return {from_message(body.request()), Core::AttemptNumber(body.attempt())};
 }
 
 template <typename Body>
-void set_key(Body& body, Policy::WorkKey const& key)
+void set_key(Body& body, Policy::AttemptKey const& key)
 {
     body.mutable_request()->set_entry(key.request.entry);
     body.mutable_request()->set_sequence(key.request.sequence);
--- a/Libraries/LibSide/EngineCall.h
+++ b/Libraries/LibSide/EngineCall.h
@@ -11,7 +11,7 @@
 
 /// A request as it goes to the backend server.
 struct EngineCall {
-    Policy::WorkKey key;
+    Policy::AttemptKey key;
     std::string method;
     std::string path;
     std::string content_type;
@@ -31,23 +31,23 @@
 };
 
 struct CancelCall {
-    Policy::WorkKey key;
+    Policy::AttemptKey key;
 };
 
 /// The reader is behind: take no more of the answer until ResumeCall.
 struct PauseCall {
-    Policy::WorkKey key;
+    Policy::AttemptKey key;
 };
 
 struct ResumeCall {
-    Policy::WorkKey key;
+    Policy::AttemptKey key;
 };
 
 using EngineCommand = std::variant<StartCall, CancelCall, PauseCall, ResumeCall>;
 
 /// A piece of the backend server's answer. The first one has the status and the type.
 struct AnswerPiece {
-    Policy::WorkKey key;
+    Policy::AttemptKey key;
     int status {0};
     std::string content_type;
     std::string payload;
@@ -66,7 +66,7 @@
 };
 
 struct AnswerEnd {
-    Policy::WorkKey key;
+    Policy::AttemptKey key;
     CallEnd end {CallEnd::Broken};
     std::string message;
     /// Of the answer, also where it had no body and so no piece.
--- a/Libraries/LibSide/EngineClient.cpp
+++ b/Libraries/LibSide/EngineClient.cpp
@@ -84,7 +84,7 @@
     curl_multi_add_handle(m_multi, running->handle());
 }
 
-void EngineClient::cancel(Policy::WorkKey const& key)
+void EngineClient::cancel(Policy::AttemptKey const& key)
 {
     auto const found = m_calls.find(key);
     if (found == m_calls.end())
@@ -95,7 +95,7 @@
     emit_end({key, CallEnd::Cancelled, "cancelled", 0, "", ""});
 }
 
-void EngineClient::set_paused(Policy::WorkKey const& key, bool is_paused)
+void EngineClient::set_paused(Policy::AttemptKey const& key, bool is_paused)
 {
     auto const found = m_calls.find(key);
     if (found != m_calls.end())
--- a/Libraries/LibSide/EngineClient.h
+++ b/Libraries/LibSide/EngineClient.h
@@ -45,8 +45,8 @@
     void run();
     void handle(EngineCommand&&);
     void start(EngineCall&&);
-    void cancel(Policy::WorkKey const&);
-    void set_paused(Policy::WorkKey const&, bool is_paused);
+    void cancel(Policy::AttemptKey const&);
+    void set_paused(Policy::AttemptKey const&, bool is_paused);
     void collect_ended();
     void finish(RunningCall&, CURLcode);
     /// False when the ring is full.
@@ -59,7 +59,7 @@
     Core::BoundedRing<EngineCommand> m_commands;
     Core::BoundedRing<EngineEvent> m_events;
     CURLM* m_multi;
-    absl::node_hash_map<Policy::WorkKey, std::unique_ptr<RunningCall>> m_calls;
+    absl::node_hash_map<Policy::AttemptKey, std::unique_ptr<RunningCall>> m_calls;
     /// Ends that did not fit into the ring. There is at most one for each call, so the slots bound it.
     std::deque<AnswerEnd> m_waiting_ends;
     std::atomic<bool> m_should_stop {false};
--- a/Libraries/LibSide/EntryMessages.cpp
+++ b/Libraries/LibSide/EntryMessages.cpp
@@ -125,7 +125,7 @@
     work.workspace = dispatch.workspace();
     work.workspace_weight = std::max(dispatch.workspace_weight(), 1U);
     work.target = time + Core::Milliseconds(row.first_token_target_ms()) - Core::Milliseconds(dispatch.waited_ms());
-    work.give_up = time + Core::Milliseconds(dispatch.remaining_ms());
+    work.start_deadline = time + Core::Milliseconds(dispatch.remaining_ms());
     work.should_refuse_late = row.should_refuse_late();
     work.is_repeatable = dispatch.is_repeatable();
     work.is_preemptible = m_settings.can_resume && dispatch.is_repeatable() && dispatch.is_stream();
@@ -220,7 +220,7 @@
 }
 
 void SideAuthority::refuse(
-    std::string const& route, Policy::WorkKey const& key, RefusalReason reason, Core::Milliseconds retry_after)
+    std::string const& route, Policy::AttemptKey const& key, RefusalReason reason, Core::Milliseconds retry_after)
 {
     auto message = Protocol::make_envelope();
     auto& refused = *message.mutable_refused();
@@ -236,7 +236,7 @@
     m_metrics.counter("granitefield_side_refusals_total", {{"reason", reason_text}}).add();
 }
 
-void SideAuthority::end_unstarted(Policy::WorkKey const& key, RefusalReason reason, Core::Milliseconds retry_after)
+void SideAuthority::end_unstarted(Policy::AttemptKey const& key, RefusalReason reason, Core::Milliseconds retry_after)
 {
     auto const found = m_attempts.find(key);
     if (found == m_attempts.end())
--- a/Libraries/LibSide/Refusals.h
+++ b/Libraries/LibSide/Refusals.h
@@ -18,7 +18,7 @@
         return granitefield::protocol::REFUSAL_REASON_DISPLACED;
     case Policy::Refusal::TargetOutOfReach:
         return granitefield::protocol::REFUSAL_REASON_TARGET_OUT_OF_REACH;
-    case Policy::Refusal::GaveUp:
+    case Policy::Refusal::Deadline:
         break;
     }
     return granitefield::protocol::REFUSAL_REASON_DEADLINE;
--- a/Libraries/LibSide/RunningCall.h
+++ b/Libraries/LibSide/RunningCall.h
@@ -20,7 +20,7 @@
     RunningCall& operator=(RunningCall const&) = delete;
 
     [[nodiscard]] CURL* handle() const { return m_handle; }
-    [[nodiscard]] Policy::WorkKey const& key() const { return m_call.key; }
+    [[nodiscard]] Policy::AttemptKey const& key() const { return m_call.key; }
 
     void set_paused(bool);
     /// Tries again to hand on what did not fit into the ring.
--- a/Libraries/LibSide/SideAuthority.cpp
+++ b/Libraries/LibSide/SideAuthority.cpp
@@ -110,7 +110,7 @@
 void SideAuthority::wait_for_work()
 {
     auto timeout = s_housekeeping_interval;
-    auto const wake = m_queue.visit([](auto const& queue) { return queue.next_wake(); });
+    auto const wake = m_queue.visit([](auto const& queue) { return queue.next_wakeup(); });
     if (wake)
         timeout = std::clamp(Core::elapsed(Core::monotonic_now(), *wake) + Core::Milliseconds(1), Core::Milliseconds(0),
             s_housekeeping_interval);
@@ -150,7 +150,7 @@
     if (!is_everyone_confirmed && Core::elapsed(*m_challenged_at, time) < s_confirmation_patience)
         return false;
     m_challenged_at.reset();
-    std::vector<Policy::WorkKey> unconfirmed;
+    std::vector<Policy::AttemptKey> unconfirmed;
     for (auto const& [key, attempt] : m_attempts) {
         auto const entry = m_entries.find(attempt.entry_route());
         bool const is_confirmed = entry != m_entries.end() && entry->second.answered_challenge == m_challenge;
@@ -214,7 +214,7 @@
 
 void SideAuthority::send_back_waiting()
 {
-    std::vector<Policy::WorkKey> waiting;
+    std::vector<Policy::AttemptKey> waiting;
     for (auto const& [key, attempt] : m_attempts) {
         if (attempt.state() == Attempt::State::Waiting)
             waiting.push_back(key);
@@ -241,8 +241,8 @@
 
 void SideAuthority::forget_attempts_of(std::string const& route, Core::MonotonicTime time)
 {
-    std::vector<Policy::WorkKey> waiting;
-    std::vector<Policy::WorkKey> ended;
+    std::vector<Policy::AttemptKey> waiting;
+    std::vector<Policy::AttemptKey> ended;
     for (auto& [key, attempt] : m_attempts) {
         if (attempt.entry_route() != route)
             continue;
@@ -276,7 +276,7 @@
     if (Core::elapsed(m_last_repeat, time) < s_repeat_interval)
         return;
     m_last_repeat = time;
-    std::vector<Policy::WorkKey> orphans;
+    std::vector<Policy::AttemptKey> orphans;
     for (auto const& [key, attempt] : m_attempts) {
         if (attempt.state() != Attempt::State::Ended)
             continue;
--- a/Libraries/LibSide/SideAuthority.h
+++ b/Libraries/LibSide/SideAuthority.h
@@ -104,10 +104,10 @@
     [[nodiscard]] bool is_in_session(std::string const& route, std::uint64_t session) const;
     void keep_house();
 
-    void refuse(std::string const& route, Policy::WorkKey const&, Protocol::Message::RefusalReason,
+    void refuse(std::string const& route, Policy::AttemptKey const&, Protocol::Message::RefusalReason,
         Core::Milliseconds retry_after);
     /// Ends a waiting attempt that has left the queue without a start.
-    void end_unstarted(Policy::WorkKey const&, Protocol::Message::RefusalReason, Core::Milliseconds retry_after);
+    void end_unstarted(Policy::AttemptKey const&, Protocol::Message::RefusalReason, Core::Milliseconds retry_after);
     /// Ends a suspended attempt that nobody wants any more.
     void end_cancelled(Attempt&);
     void settle_ticket(Attempt const&, bool is_whole);
@@ -129,7 +129,7 @@
     TicketBook m_tickets;
     Tombstones m_tombstones;
     Policy::ServicePredictor m_predictor;
-    absl::node_hash_map<Policy::WorkKey, Attempt> m_attempts;
+    absl::node_hash_map<Policy::AttemptKey, Attempt> m_attempts;
     std::map<std::string, Entry> m_entries;
     std::map<std::string, Protocol::Message::PolicyRow> m_rows;
     std::uint64_t m_sessions {0};
--- a/Libraries/LibSide/Tombstones.h
+++ b/Libraries/LibSide/Tombstones.h
@@ -19,7 +19,7 @@
     static constexpr Core::Milliseconds s_hold {120'000};
     static constexpr std::size_t s_largest_count = 65'536;
 
-    void add(Policy::WorkKey const& key, Core::MonotonicTime now)
+    void add(Policy::AttemptKey const& key, Core::MonotonicTime now)
     {
         if (!m_keys.insert(key).second)
             return;
@@ -30,12 +30,12 @@
         }
     }
 
-    [[nodiscard]] bool contains(Policy::WorkKey const& key) const { return m_keys.contains(key); }
+    [[nodiscard]] bool contains(Policy::AttemptKey const& key) const { return m_keys.contains(key); }
     [[nodiscard]] std::size_t count() const { return m_keys.size(); }
 
 private:
-    absl::flat_hash_set<Policy::WorkKey> m_keys;
-    std::deque<std::pair<Core::MonotonicTime, Policy::WorkKey>> m_by_age;
+    absl::flat_hash_set<Policy::AttemptKey> m_keys;
+    std::deque<std::pair<Core::MonotonicTime, Policy::AttemptKey>> m_by_age;
 };
 
 }
--- a/Meta/deliberate-breaks.sh
+++ b/Meta/deliberate-breaks.sh
@@ -12,7 +12,7 @@
 
 # number | file | what sed does to it | test program | filter
 breaks=(
-    '1|Libraries/LibPolicy/AdmissionQueue.h|s/offer.displaced = displace_below(tier_of(work), now);/offer.displaced.reset();/|AdmissionQueueTest|*NeverSheds*'
+    '1|Libraries/LibPolicy/AdmissionQueue.h|s/offer.displaced = displace_below(tier_of(work), now);/offer.displaced.reset();/|AdmissionQueueTest|*NeverRefusesAHigherTier*'
     '2|Libraries/LibPolicy/Discipline.h|0,/has_floors = true/s//has_floors = false/|AdmissionQueueTest|*FloorsKeep*'
     '3|Libraries/LibEntry/RequestRun.cpp|s/return ChunkResult::Gap;/attempt.chunks = chunk.sequence() - 1;/|WholeAnswerTest|*Reset*'
     '4|Libraries/LibSide/RunningCall.cpp|s/code != CURLE_OK \&\& !has_sent_bytes()/code != CURLE_OK/|NotRunTest|*LosesItsConnections*'
--- a/Tests/Benchmarks/DecisionBenchmark.cpp
+++ b/Tests/Benchmarks/DecisionBenchmark.cpp
@@ -34,7 +34,7 @@
     work.floor_percent = 2;
     work.workspace = Core::concat("workspace-", random() % s_workspaces);
     work.target = now + Core::Milliseconds(random() % 5000);
-    work.give_up = now + 1h;
+    work.start_deadline = now + 1h;
     work.expected_service = 100ms;
     return work;
 }
@@ -48,7 +48,7 @@
     std::mt19937_64 random(1);
     auto now = Core::MonotonicTime(1h);
     std::uint64_t number = 0;
-    std::deque<Policy::WorkKey> running;
+    std::deque<Policy::AttemptKey> running;
     for (unsigned index = 0; index < depth + 64; ++index) {
         static_cast<void>(queue.offer(make_work(++number, now, random), now));
         while (auto start = queue.next(now))
--- a/Tests/LibPolicy/AdmissionQueueTest.cpp
+++ b/Tests/LibPolicy/AdmissionQueueTest.cpp
@@ -30,33 +30,33 @@
     work.floor_percent = floor_percent;
     work.workspace = Core::concat("workspace-", number % 3);
     work.target = now + 1s;
-    work.give_up = now + 1h;
+    work.start_deadline = now + 1h;
     work.expected_service = 100ms;
     return work;
 }
 
-/// Tiers of the waiting work, kept beside the queue by what it says itself.
-using Waiting = std::map<WorkKey, unsigned>;
+/// Tiers of the waiting attempts, tracked independently from the queue's results.
+using Waiting = std::map<AttemptKey, unsigned>;
 
-bool waits_below(Waiting const& waiting, unsigned tier)
+bool is_lower_tier_waiting(Waiting const& waiting, unsigned tier)
 {
     return std::ranges::any_of(waiting, [tier](auto const& item) { return item.second > tier; });
 }
 
-bool waits_above(Waiting const& waiting, unsigned tier)
+bool is_higher_tier_waiting(Waiting const& waiting, unsigned tier)
 {
     return std::ranges::any_of(waiting, [tier](auto const& item) { return item.second < tier; });
 }
 
 }
 
-RC_GTEST_PROP(AdmissionQueue, NeverShedsAHigherTierForALowerOne, ())
+RC_GTEST_PROP(AdmissionQueue, NeverRefusesAHigherTierWhileALowerOneWaits, ())
 {
     QueueLimits const limits {*rc::gen::inRange(1U, 5U), *rc::gen::inRange(1U, 9U), 0};
     auto const floors = *rc::gen::container<std::vector<unsigned>>(6, rc::gen::inRange(0U, 9U));
     AdmissionQueue<TieredDiscipline> queue(limits);
     Waiting waiting;
-    std::deque<WorkKey> running;
+    std::deque<AttemptKey> running;
     auto now = at(0ms);
     auto const steps = *rc::gen::inRange(1, 200);
     for (int step = 0; step < steps; ++step) {
@@ -68,7 +68,7 @@
             auto const offer = queue.offer(work, now);
             if (offer.refusal) {
                 RC_ASSERT(*offer.refusal == Refusal::QueueFull);
-                RC_ASSERT(!waits_below(waiting, tier));
+                RC_ASSERT(!is_lower_tier_waiting(waiting, tier));
                 RC_ASSERT(offer.retry_after.count() > 0);
                 RC_ASSERT(!offer.displaced);
             } else {
@@ -77,7 +77,7 @@
             if (offer.displaced) {
                 RC_ASSERT(offer.displaced->tier > tier);
                 RC_ASSERT(waiting.erase(offer.displaced->key) == 1U);
-                RC_ASSERT(!waits_below(waiting, offer.displaced->tier));
+                RC_ASSERT(!is_lower_tier_waiting(waiting, offer.displaced->tier));
             }
         } else if (action < 9 && !running.empty()) {
             queue.finish(running.front(), now);
@@ -90,7 +90,7 @@
         while (auto const start = queue.next(now)) {
             RC_ASSERT(waiting.erase(start->work.key) == 1U);
             if (start->reason == StartReason::Order)
-                RC_ASSERT(!waits_above(waiting, start->work.tier));
+                RC_ASSERT(!is_higher_tier_waiting(waiting, start->work.tier));
             running.push_back(start->work.key);
         }
         RC_ASSERT(queue.running_count() == running.size());
@@ -100,13 +100,13 @@
     }
 }
 
-RC_GTEST_PROP(AdmissionQueue, SuspendsOnlyForHigherTiersAndLosesNothing, ())
+RC_GTEST_PROP(AdmissionQueue, SuspendsOnlyForHigherTiersAndLosesNoAttempt, ())
 {
     QueueLimits const limits {*rc::gen::inRange(1U, 4U), *rc::gen::inRange(1U, 6U), 0};
     AdmissionQueue<TieredDiscipline> queue(limits);
-    std::map<WorkKey, unsigned> waiting;
-    std::map<WorkKey, unsigned> running;
-    std::set<WorkKey> begun;
+    std::map<AttemptKey, unsigned> waiting;
+    std::map<AttemptKey, unsigned> running;
+    std::set<AttemptKey> started;
     auto now = at(0ms);
     auto const steps = *rc::gen::inRange(1, 200);
     for (int step = 0; step < steps; ++step) {
@@ -120,7 +120,7 @@
             if (!offer.refusal)
                 waiting[work.key] = tier;
             if (offer.displaced) {
-                RC_ASSERT(!begun.contains(offer.displaced->key));
+                RC_ASSERT(!started.contains(offer.displaced->key));
                 RC_ASSERT(waiting.erase(offer.displaced->key) == 1U);
             }
         } else if (!running.empty()) {
@@ -129,7 +129,7 @@
         }
         while (auto const key = queue.next_preemption(now)) {
             auto const tier = running.at(*key);
-            RC_ASSERT(waits_above(waiting, tier));
+            RC_ASSERT(is_higher_tier_waiting(waiting, tier));
             queue.suspend(*key, now);
             running.erase(*key);
             waiting[*key] = tier;
@@ -137,13 +137,13 @@
         while (auto const start = queue.next(now)) {
             RC_ASSERT(waiting.erase(start->work.key) == 1U);
             running[start->work.key] = start->work.tier;
-            begun.insert(start->work.key);
+            started.insert(start->work.key);
         }
         RC_ASSERT(queue.running_count() == running.size());
         RC_ASSERT(queue.waiting_count() == waiting.size());
         RC_ASSERT(running.size() <= limits.slots);
         for (auto const& expiry : queue.expire(now + 1h))
-            RC_ASSERT(!begun.contains(expiry.work.key) && waiting.erase(expiry.work.key) == 1U);
+            RC_ASSERT(!started.contains(expiry.work.key) && waiting.erase(expiry.work.key) == 1U);
     }
 }
 
@@ -151,22 +151,22 @@
 
 struct BurstResult {
     double bulk_share {0};
-    Core::Milliseconds longest_bulk_gap {0};
+    Core::Milliseconds max_bulk_gap {0};
     unsigned urgent_refused_while_bulk_waited {0};
     double urgent_share {0};
 };
 
-/// Urgent work at twice the capacity for a minute; bulk callers come back when they are told to.
+/// Offers urgent work at twice the capacity for a minute; bulk callers retry after the stated delay.
 template <typename Rules>
 BurstResult run_burst(unsigned slots, unsigned floor_percent)
 {
     constexpr auto s_service = 100ms;
     constexpr auto s_length = 60'000ms;
     AdmissionQueue<Rules> queue({slots, 20, 0});
-    std::multimap<Core::MonotonicTime, std::pair<WorkKey, unsigned>> ends;
-    std::multimap<Core::MonotonicTime, int> bulk_returns;
+    std::multimap<Core::MonotonicTime, std::pair<AttemptKey, unsigned>> ends;
+    std::multimap<Core::MonotonicTime, int> bulk_retries;
     for (int caller = 0; caller < 4; ++caller)
-        bulk_returns.emplace(at(0ms), caller);
+        bulk_retries.emplace(at(0ms), caller);
     BurstResult result;
     std::uint64_t number = 0;
     auto last_bulk_start = at(0ms);
@@ -176,24 +176,24 @@
         while (!ends.empty() && ends.begin()->first <= now) {
             queue.finish(ends.begin()->second.first, now);
             if (ends.begin()->second.second == 5)
-                bulk_returns.emplace(now, 0);
+                bulk_retries.emplace(now, 0);
             ends.erase(ends.begin());
         }
         auto const offer = [&](unsigned tier) {
             auto const made = queue.offer(make_work(++number, tier, now, tier == 5 ? floor_percent : 0), now);
             if (made.displaced && made.displaced->tier == 5)
-                bulk_returns.emplace(now + made.retry_after, 0);
+                bulk_retries.emplace(now + made.retry_after, 0);
             if (made.refusal && tier == 5)
-                bulk_returns.emplace(now + made.retry_after, 0);
+                bulk_retries.emplace(now + made.retry_after, 0);
             if (made.refusal && tier == 1 && queue.waiting_count(5) > 0)
                 ++result.urgent_refused_while_bulk_waited;
         };
-        // Twice what the slots can serve.
+        // Twice the capacity of the slots.
         auto const elapsed = (now - at(0ms)) / 1ms;
         if (elapsed % (s_service.count() / (2 * slots)) == 0)
             offer(1);
-        while (!bulk_returns.empty() && bulk_returns.begin()->first <= now) {
-            bulk_returns.erase(bulk_returns.begin());
+        while (!bulk_retries.empty() && bulk_retries.begin()->first <= now) {
+            bulk_retries.erase(bulk_retries.begin());
             offer(5);
         }
         while (auto const start = queue.next(now)) {
@@ -203,28 +203,28 @@
                 continue;
             }
             ++bulk_starts;
-            result.longest_bulk_gap = std::max(
-                result.longest_bulk_gap, std::chrono::duration_cast<Core::Milliseconds>(now - last_bulk_start));
+            result.max_bulk_gap
+                = std::max(result.max_bulk_gap, std::chrono::duration_cast<Core::Milliseconds>(now - last_bulk_start));
             last_bulk_start = now;
         }
     }
     auto const capacity = static_cast<double>(slots) * s_length.count() / s_service.count();
     result.bulk_share = bulk_starts / capacity;
     result.urgent_share = urgent_starts / capacity;
-    result.longest_bulk_gap = std::max(
-        result.longest_bulk_gap, std::chrono::duration_cast<Core::Milliseconds>(at(s_length) - last_bulk_start));
+    result.max_bulk_gap
+        = std::max(result.max_bulk_gap, std::chrono::duration_cast<Core::Milliseconds>(at(s_length) - last_bulk_start));
     return result;
 }
 
 }
 
-TEST(AdmissionQueue, FloorsKeepBulkWorkMovingInALongBurst)
+TEST(AdmissionQueue, FloorsKeepBulkWorkRunningDuringALongBurst)
 {
     auto const result = run_burst<TieredDiscipline>(4, 10);
     EXPECT_GE(result.bulk_share, 0.09);
-    EXPECT_LE(result.longest_bulk_gap, 2s);
+    EXPECT_LE(result.max_bulk_gap, 2s);
     EXPECT_EQ(result.urgent_refused_while_bulk_waited, 0U);
-    // The floor and the slots held for it cost the urgent class no more than the floor.
+    // The floor and the slots held for it cost the urgent class at most the floor.
     EXPECT_GE(result.urgent_share, 0.88);
 }
 
@@ -234,7 +234,7 @@
     EXPECT_LT(result.bulk_share, 0.01);
 }
 
-TEST(AdmissionQueue, InsideATierTheEarliestTargetComesFirst)
+TEST(AdmissionQueue, StartsTheEarliestTargetOfATierFirst)
 {
     AdmissionQueue<TieredDiscipline> queue({1, 10, 0});
     auto const now = at(0ms);
@@ -252,7 +252,7 @@
     EXPECT_EQ(start->work.key, early.key);
 }
 
-TEST(AdmissionQueue, AWorkspaceThatAsksForMoreThanItsShareWaitsBehindTheOthers)
+TEST(AdmissionQueue, WorkspaceAboveItsShareWaitsBehindOthers)
 {
     AdmissionQueue<TieredDiscipline> queue({1, 100, 0});
     auto const now = at(0ms);
@@ -269,17 +269,17 @@
     small.workspace = "small";
     ASSERT_FALSE(queue.offer(small, now + 1ms).refusal);
     queue.finish(make_work(0, 3, now).key, now + 2ms);
-    unsigned place = 0;
+    unsigned position = 0;
     for (auto start = queue.next(now + 2ms); start; start = queue.next(now + 2ms)) {
-        ++place;
+        ++position;
         if (start->work.key == small.key)
             break;
         queue.finish(start->work.key, now + 2ms);
     }
-    EXPECT_LE(place, 3U);
+    EXPECT_LE(position, 3U);
 }
 
-TEST(AdmissionQueue, HeadroomIsForTheUrgentTierOnly)
+TEST(AdmissionQueue, ReservesHeadroomForTheUrgentTier)
 {
     AdmissionQueue<TieredDiscipline> queue({3, 10, 1});
     auto const now = at(0ms);
@@ -294,7 +294,7 @@
     EXPECT_EQ(start->work.tier, 1U);
 }
 
-TEST(AdmissionQueue, RefusesAtOnceWhatCantMeetItsTargetAndSaysWhen)
+TEST(AdmissionQueue, RefusesAttemptsThatCannotMeetTheirTargetWithRetryAfter)
 {
     AdmissionQueue<TieredDiscipline> queue({1, 100, 0});
     auto now = at(0ms);
@@ -306,7 +306,7 @@
     }
     ASSERT_FALSE(queue.offer(make_work(99, 2, now), now).refusal);
     ASSERT_TRUE(queue.next(now));
-    std::optional<Offer> refused;
+    std::optional<OfferResult> refused;
     for (std::uint64_t number = 100; number < 150 && !refused; ++number) {
         auto work = make_work(number, 2, now);
         work.should_refuse_late = true;
@@ -316,12 +316,12 @@
     }
     ASSERT_TRUE(refused);
     EXPECT_EQ(refused->refusal, Refusal::TargetOutOfReach);
-    // Ten of 100 ms fit before a target of one second.
+    // Ten attempts of 100 ms fit before a target of one second.
     EXPECT_NEAR(static_cast<double>(queue.waiting_count()), 9, 2);
     EXPECT_LE(refused->retry_after, 500ms);
 }
 
-TEST(AdmissionQueue, WhatArrivesTogetherFillsTheSlotsAndTheQueue)
+TEST(AdmissionQueue, SimultaneousArrivalsFillSlotsAndQueue)
 {
     AdmissionQueue<TieredDiscipline> queue({2, 6, 0});
     auto const now = at(0ms);
@@ -334,20 +334,20 @@
     EXPECT_EQ(queue.waiting_count(), 6U);
 }
 
-TEST(AdmissionQueue, ExpiresWhatWaitsTooLong)
+TEST(AdmissionQueue, ExpiresAttemptsAtTheirStartDeadline)
 {
     AdmissionQueue<TieredDiscipline> queue({1, 10, 0});
     auto const now = at(0ms);
     ASSERT_FALSE(queue.offer(make_work(1, 2, now), now).refusal);
     ASSERT_TRUE(queue.next(now));
     auto work = make_work(2, 2, now);
-    work.give_up = now + 50ms;
+    work.start_deadline = now + 50ms;
     ASSERT_FALSE(queue.offer(work, now).refusal);
-    EXPECT_EQ(queue.next_wake(), now + 50ms);
+    EXPECT_EQ(queue.next_wakeup(), now + 50ms);
     EXPECT_TRUE(queue.expire(now + 49ms).empty());
     auto const expired = queue.expire(now + 50ms);
     ASSERT_EQ(expired.size(), 1U);
-    EXPECT_EQ(expired.front().refusal, Refusal::GaveUp);
+    EXPECT_EQ(expired.front().refusal, Refusal::Deadline);
     EXPECT_EQ(queue.waiting_count(), 0U);
 }
 
--- a/Tests/LibPolicy/PolicyTest.cpp
+++ b/Tests/LibPolicy/PolicyTest.cpp
@@ -1,4 +1,4 @@
-// The smaller parts of the policy: buckets, budgets, predictions and the choice of a backend server.
+// Tests for token buckets, retry budgets, service predictions and the choice of a backend server.
 #include <LibPolicy/BackendChooser.h>
 #include <LibPolicy/RetryBudget.h>
 #include <LibPolicy/ServicePredictor.h>
@@ -32,7 +32,7 @@
 
 }
 
-RC_GTEST_PROP(TokenBucket, NeverGivesMoreThanRateAndBurst, ())
+RC_GTEST_PROP(TokenBucket, NeverExceedsRateAndBurst, ())
 {
     auto const rate = *rc::gen::inRange(1, 100);
     auto const burst = *rc::gen::inRange(1, 50);
@@ -51,7 +51,7 @@
     }
 }
 
-TEST(TokenBucket, SaysTrulyWhenToComeBack)
+TEST(TokenBucket, ReturnsTheTimeUntilTheAmountIsAvailable)
 {
     TokenBucket bucket(10, 1);
     bucket.charge(5, s_start);
@@ -60,7 +60,7 @@
     EXPECT_EQ(bucket.wait_for(1, s_start + wait), 0ms);
 }
 
-TEST(RetryBudget, IsAShareOfTheTraffic)
+TEST(RetryBudget, LimitsRetriesToAFractionOfRequests)
 {
     RetryBudget budget;
     while (budget.try_spend()) { }
@@ -92,7 +92,7 @@
     EXPECT_EQ(chooser.choose({3, 0, 0}, views), 1U);
 }
 
-TEST(PredictedWaitChooser, CountsWhatWasSentSinceTheReport)
+TEST(PredictedWaitChooser, CountsAttemptsSentSinceTheReport)
 {
     PredictedWaitChooser chooser(30ms);
     std::vector<BackendView> views {make_view("a", 3, 0), make_view("b", 4, 0)};
@@ -101,7 +101,7 @@
     EXPECT_EQ(chooser.choose({3, 0, 0}, views), 1U);
 }
 
-TEST(PredictedWaitChooser, KeepsAPrefixWhereItIsUntilThatCostsMore)
+TEST(PredictedWaitChooser, KeepsPrefixAffinityUntilTheWaitCostsMore)
 {
     PredictedWaitChooser chooser(30ms);
     std::vector<BackendView> views {make_view("a", 0, 0), make_view("b", 0, 0), make_view("c", 0, 0)};
@@ -113,7 +113,7 @@
     EXPECT_NE(chooser.choose({3, 12345, 1024}, views), home);
 }
 
-TEST(PredictedWait, LeavesHeadroomToTheUrgentTier)
+TEST(PredictedWait, ReservesHeadroomForTheUrgentTier)
 {
     auto view = make_view("a", 3, 0);
     view.headroom_slots = 1;
