--- a/Libraries/LibGateway/BackendFleet.cpp
+++ b/Libraries/LibGateway/BackendFleet.cpp
@@ -99,7 +99,7 @@
     if (view->is_listed() || has_attempts)
         return false;
     // The store may list the server again after an outage, and its backoff still applies then.
-    bool const is_remembered = Core::elapsed(view->unlisted_since(), now) <= Policy::RateLimitFacts::s_memory;
+    bool const is_remembered = Core::elapsed(view->unlisted_since(), now) <= Policy::RateLimitFacts::s_retention;
     return !is_remembered || !view->backoff().is_in_force(now);
 }
 
--- a/Libraries/LibGateway/BackendFleetSignals.cpp
+++ b/Libraries/LibGateway/BackendFleetSignals.cpp
@@ -108,14 +108,14 @@
     Policy::RateLimitFacts::Report const& report, Policy::Relaying relaying, Core::MonotonicTime now)
 {
     auto const before = rate_limit_of(report.server);
-    if (m_rate_limits.take(report, relaying, now) == Policy::FactChange::Changed)
+    if (m_rate_limits.apply(report, relaying, now) == Policy::FactChange::Changed)
         log_limit(report.server, before, "gateway");
 }
 
 void BackendFleet::take_report(
     Policy::LeavingFacts::Report const& report, Policy::Relaying relaying, Core::MonotonicTime now)
 {
-    if (m_leavings.take(report, relaying, now) == Policy::FactChange::Changed)
+    if (m_leavings.apply(report, relaying, now) == Policy::FactChange::Changed)
         mark_leaving(report.server, "gateway");
 }
 
--- a/Libraries/LibGateway/GatewayRun.cpp
+++ b/Libraries/LibGateway/GatewayRun.cpp
@@ -5,7 +5,7 @@
 #include <LibEntry/CallInterpreter.h>
 #include <LibGateway/OwnAnswer.h>
 #include <LibHTTP/Status.h>
-#include <LibPolicy/ReturnDelay.h>
+#include <LibPolicy/RetryAfter.h>
 
 #include <algorithm>
 #include <array>
@@ -196,7 +196,7 @@
 
 Core::Milliseconds GatewayRun::return_delay(Opening const& opening, Core::MonotonicTime now) const
 {
-    return Policy::return_delay(Core::elapsed(now, opening.anywhere), m_call.priority, own_draw());
+    return Policy::spread_retry_after(Core::elapsed(now, opening.anywhere), m_call.priority, own_draw());
 }
 
 void GatewayRun::send_to(Choice const& choice, Core::MonotonicTime now)
--- a/Libraries/LibGateway/SignalSharing.cpp
+++ b/Libraries/LibGateway/SignalSharing.cpp
@@ -65,7 +65,7 @@
 bool SignalSharing::is_within_bounds(Message const& message)
 {
     // A newcomer gets all facts along with the due reports.
-    constexpr auto most = static_cast<int>(2 * Policy::s_most_reports);
+    constexpr auto most = static_cast<int>(2 * Policy::s_max_reports);
     return message.rate_limits_size() <= most && message.leaving_size() <= most
         && std::ranges::all_of(message.rate_limits(), is_sound);
 }
@@ -78,8 +78,8 @@
 
 void SignalSharing::fill_everything(Message& message, Core::MonotonicTime now) const
 {
-    write(message, m_fleet.rate_limits().everything(), now);
-    write(message, m_fleet.leavings().everything(), now);
+    write(message, m_fleet.rate_limits().all_reports(), now);
+    write(message, m_fleet.leavings().all_reports(), now);
 }
 
 void SignalSharing::take(Message const& message, Policy::Relaying relaying, Core::MonotonicTime now)
--- a/Libraries/LibPolicy/LimitShares.h
+++ b/Libraries/LibPolicy/LimitShares.h
@@ -22,12 +22,11 @@
 /// Divides the rate limits of backend servers among the gateways without a message for each request.
 ///
 /// Only a few gateways at a time, the senders, have a share of a limit: if each of many gateways had one, their first
-/// requests alone would exceed a small limit. Senders change with each term, so that a server does not stay unused
-/// because its senders have no requests for it. A gateway that does not know the membership has no share. No I/O and no
-/// clock.
+/// requests alone would exceed a small limit. Senders change with each term, so that a server is not left idle because
+/// its senders have no requests for it. A gateway that does not know the membership has no share. No I/O and no clock.
 class LimitShares {
 public:
-    void set_gateways(std::uint64_t self, std::vector<std::uint64_t> others);
+    void set_gateways(std::uint64_t self, std::vector<std::uint64_t> peers);
     void forget_gateways() { m_ranks.forget(); }
 
     /// Number of gateways among which limits are divided, this one included; 0 while the membership is unknown.
@@ -69,7 +68,7 @@
     /// The earliest time for a request within the term, or the end of the term if there is none.
     [[nodiscard]] Core::MonotonicTime first_send_in(
         std::uint64_t server, SharedRateLimit const&, Division const&, std::int64_t term) const;
-    [[nodiscard]] static Core::MonotonicTime begin_of(SharedRateLimit const&, Division const&, std::int64_t term);
+    [[nodiscard]] static Core::MonotonicTime start_of(SharedRateLimit const&, Division const&, std::int64_t term);
 
     GatewayRanks m_ranks;
     /// Theoretical arrival time of the next request to each server (generic cell rate algorithm).
--- a/Libraries/LibPolicy/RateLimitFact.h
+++ b/Libraries/LibPolicy/RateLimitFact.h
@@ -10,7 +10,7 @@
 
 namespace GraniteField::Policy {
 
-/// What answers have shown of a backend server's rate limit. Each member merges by its least or greatest value, so that
+/// Evidence from answers about a backend server's rate limit. Each member merges to its minimum or maximum, so that
 /// the order of reports does not matter.
 struct RateLimitFact {
     using Time = std::optional<Core::MonotonicTime>;
--- a/Libraries/LibPolicy/ServerBackoff.h
+++ b/Libraries/LibPolicy/ServerBackoff.h
@@ -7,9 +7,9 @@
 
 namespace GraniteField::Policy {
 
-/// Tracks the backoff that a backend server requested from this gateway with 503 and Retry-After. When it ends, single
-/// requests probe the server until one is accepted; a server that is still overloaded would otherwise reject all that
-/// has queued up meanwhile. No I/O and no clock.
+/// Tracks the backoff that a backend server requested from this gateway with 503 and Retry-After. After the backoff,
+/// single requests probe the server until one is accepted; a server that is still overloaded would otherwise receive
+/// all requests queued meanwhile. No I/O and no clock.
 class ServerBackoff {
 public:
     /// Time after which another probe is sent if the last one was not answered.
@@ -30,7 +30,7 @@
             m_is_probing = false;
     }
 
-    /// A request is sent to the server.
+    /// Records a request to the server.
     void note_sent(Core::MonotonicTime now)
     {
         if (m_is_probing)
--- a/Libraries/LibPolicy/ServerFacts.h
+++ b/Libraries/LibPolicy/ServerFacts.h
@@ -20,18 +20,18 @@
     Changed,
 };
 
-/// Whether a report received from another gateway is forwarded.
+/// Whether a report from another gateway is forwarded.
 enum class Relaying {
     No,
     Yes,
 };
 
-/// Most reports of one kind in one datagram.
-inline constexpr std::size_t s_most_reports = 200;
+/// Maximum number of reports of one kind in one datagram.
+inline constexpr std::size_t s_max_reports = 200;
 
-/// Something that a backend server stated in an answer. observed() is the time of the newest evidence; is_over() says
-/// whether the fact has no effect any more and only supersedes older reports. Merging must be independent of the order,
-/// since reports of different gateways overtake each other.
+/// A fact that a backend server stated in an answer. observed() is the time of the newest evidence; is_over() says
+/// whether the fact has ended and only supersedes older reports. Merging must not depend on the order, since reports
+/// of different gateways overtake each other.
 template <typename Candidate>
 concept MergeableFact = requires(Candidate fact, Candidate const& other)
 {
@@ -46,8 +46,8 @@
         } -> std::same_as<bool>;
 };
 
-/// Facts that backend servers stated in answers, replicated among the gateways. The key is the hash of a server's run,
-/// so that a fact ends with the run. No I/O and no clock.
+/// Facts that backend servers stated in answers, replicated among the gateways. The key is the hash of a server's
+/// incarnation, so that a fact ends with the incarnation. No I/O and no clock.
 template <MergeableFact Fact>
 class ServerFacts {
 public:
@@ -60,28 +60,28 @@
     static constexpr unsigned s_repetitions = 3;
     static constexpr Core::Milliseconds s_repetition_interval {100};
     /// Interval between reports of a confirmed fact, for gateways that have just started.
-    static constexpr Core::Milliseconds s_refresh {4'000};
-    static constexpr std::size_t s_most_facts = 16'384;
-    /// How long facts are kept that are over or whose server is not listed. The store may list a server again after an
-    /// outage.
-    static constexpr Core::Milliseconds s_memory {600'000};
+    static constexpr Core::Milliseconds s_refresh_interval {4'000};
+    static constexpr std::size_t s_max_facts = 16'384;
+    /// Time for which facts are kept that have ended or whose server is not listed. The store may list a server again
+    /// after an outage.
+    static constexpr Core::Milliseconds s_retention {600'000};
 
     [[nodiscard]] bool is_empty() const { return m_entries.empty(); }
-    /// The fact known of the server, or null.
+    /// Returns the known fact about the server, or null.
     [[nodiscard]] Fact const* find(std::uint64_t server) const
     {
         auto const found = m_entries.find(server);
         return found == m_entries.end() ? nullptr : &found->second.fact;
     }
 
-    /// Merges what this gateway observed itself.
+    /// Merges an observation of this gateway.
     FactChange note(std::uint64_t server, Fact const& fact, Core::MonotonicTime now)
     {
         return merge(server, fact, Relaying::Yes, now);
     }
 
     /// Merges a report of another gateway.
-    FactChange take(Report const& report, Relaying relaying, Core::MonotonicTime now)
+    FactChange apply(Report const& report, Relaying relaying, Core::MonotonicTime now)
     {
         return merge(report.server, report.fact, relaying, now);
     }
@@ -99,7 +99,7 @@
         if (m_scheduled == 0)
             return reports;
         for (auto& [server, entry] : m_entries) {
-            if (!is_due(entry, now) || reports.size() >= s_most_reports)
+            if (!is_due(entry, now) || reports.size() >= s_max_reports)
                 continue;
             reports.push_back({server, entry.fact});
             entry.next_report = now + s_repetition_interval;
@@ -111,11 +111,11 @@
     }
 
     /// Returns all facts, for a gateway that has just started.
-    [[nodiscard]] std::vector<Report> everything() const
+    [[nodiscard]] std::vector<Report> all_reports() const
     {
         std::vector<Report> reports;
         for (auto const& [server, entry] : m_entries) {
-            if (reports.size() < s_most_reports)
+            if (reports.size() < s_max_reports)
                 reports.push_back({server, entry.fact});
         }
         return reports;
@@ -126,7 +126,7 @@
     {
         absl::erase_if(m_entries, [&](auto const& item) {
             auto const& [server, entry] = item;
-            bool const is_old = Core::elapsed(entry.fact.observed(), now) > s_memory;
+            bool const is_old = Core::elapsed(entry.fact.observed(), now) > s_retention;
             bool const is_dropped = is_old && (entry.fact.is_over() || !is_listed(server));
             if (is_dropped && entry.repetitions_left > 0)
                 --m_scheduled;
@@ -152,7 +152,7 @@
     {
         auto found = m_entries.find(server);
         bool const is_new = found == m_entries.end();
-        if (is_new && m_entries.size() >= s_most_facts)
+        if (is_new && m_entries.size() >= s_max_facts)
             return FactChange::None;
         if (is_new)
             found = m_entries.emplace(server, Entry {fact, 0, {}, {}}).first;
@@ -163,7 +163,7 @@
         else if (change == FactChange::Changed)
             schedule(entry, s_repetitions, now);
         else if (change == FactChange::Confirmed
-            && Core::elapsed(entry.last_reported, entry.fact.observed()) >= s_refresh)
+            && Core::elapsed(entry.last_reported, entry.fact.observed()) >= s_refresh_interval)
             schedule(entry, 1, now);
         return change;
     }
--- a/Meta/deliberate-breaks.sh
+++ b/Meta/deliberate-breaks.sh
@@ -77,7 +77,7 @@
     '64|Libraries/LibGateway/GatewayServer.cpp|s/    if (is_behind())/    if (is_behind() \&\& false)/|BehindTest|*NotRefusedByTheOldOne*'
     '65|Libraries/LibEntry/WatchElection.cpp|s/    m_silent_since = silent_since() + .stall;/    static_cast<void>(now);/|WatchElectionTest|*DuringItsOwnStall*'
     '66|Libraries/LibGateway/BackendView.h|s/return m_is_listed \&\& !m_is_drained \&\&/return m_is_listed \&\&/|DrainRulesTest|*ADrainedDomain*'
-    '67|Libraries/LibPolicy/ColdShares.cpp|s/return m_ranks.rank_for(server) < senders_for(rate);/return m_ranks.rank_for(server) < 10 * senders_for(rate);/|ColdSharesTest|*NoSecondHasMore*'
+    '67|Libraries/LibPolicy/ColdShares.cpp|s/return m_ranks.rank_for(server) < senders_for(rate);/return m_ranks.rank_for(server) < 10 * senders_for(rate);/|ColdSharesTest|*KeepsTheRate*'
     '68|Libraries/LibGateway/RegionRules.cpp|s/return is_open(find(m_by_route, call.route->name)) \&\&/return/|DrainRulesTest|*ARouteIsServed*'
     '69|Libraries/LibEntry/ServerChanges.cpp|s/if (digest_of(list) != changes.digest)/if (false)/|ServerChangesTest|*AnotherList*'
     '71|Libraries/LibGateway/GatewayRun.h|s/return held_bytes > settings.held_limit;/return false;/|SlowReadersTest|*HundredsThatReadNothing*'
--- a/Tests/Experiments/backoffs.cpp
+++ b/Tests/Experiments/backoffs.cpp
@@ -1,5 +1,5 @@
-// How a gateway may go on with a server that requests a backoff, each way before the same requests.
-#include "BackoffWorld.h"
+// Compares the strategies of a gateway towards a server that requests a backoff, with the same requests.
+#include "BackoffSimulation.h"
 
 #include <array>
 #include <iostream>
@@ -11,26 +11,28 @@
 
 namespace {
 
-constexpr std::uint32_t s_plays = 20;
-constexpr std::array s_ways {BackoffWay::AfterThreeFailures, BackoffWay::BackoffOnly, BackoffWay::BackoffThenProbe};
+constexpr std::uint32_t s_runs = 20;
+constexpr std::array s_strategies {
+    BackoffStrategy::AfterThreeFailures, BackoffStrategy::BackoffOnly, BackoffStrategy::BackoffThenProbe};
 constexpr std::array s_names {"after three failures", "backoff", "backoff, then probe"};
 
-/// A cell: the most requests in a backoff, mean rejected requests, the longest time from the recovery to the first use.
+/// Prints for each strategy the maximum number of requests in a backoff, the mean number of rejected requests, and the
+/// longest time from the recovery to the first use.
 void print_row(char const* name, BackoffSettings settings)
 {
     std::cout << absl::StrFormat("%-32s", name);
-    for (std::size_t index = 0; index < s_ways.size(); ++index) {
-        std::size_t most = 0;
+    for (std::size_t index = 0; index < s_strategies.size(); ++index) {
+        std::size_t max = 0;
         double rejected = 0;
-        Core::Milliseconds used_after {0};
-        for (std::uint32_t seed = 1; seed <= s_plays; ++seed) {
+        Core::Milliseconds recovery_time {0};
+        for (std::uint32_t seed = 1; seed <= s_runs; ++seed) {
             settings.seed = seed;
-            auto const outcome = BackoffWorld(settings).play(s_ways.at(index));
-            most = std::max(most, outcome.most_in_a_backoff);
-            rejected += static_cast<double>(outcome.rejected) / s_plays;
-            used_after = std::max(used_after, outcome.used_after.value_or(settings.length));
+            auto const outcome = BackoffSimulation(settings).simulate(s_strategies.at(index));
+            max = std::max(max, outcome.max_requests_in_backoff);
+            rejected += static_cast<double>(outcome.rejected) / s_runs;
+            recovery_time = std::max(recovery_time, outcome.recovery_time.value_or(settings.length));
         }
-        std::cout << absl::StrFormat(" | %s %u; %.1f; %d ms", s_names.at(index), most, rejected, used_after.count());
+        std::cout << absl::StrFormat(" | %s %u; %.1f; %d ms", s_names.at(index), max, rejected, recovery_time.count());
     }
     std::cout << '\n';
 }
--- a/Tests/LibGateway/SignalSharingTest.cpp
+++ b/Tests/LibGateway/SignalSharingTest.cpp
@@ -152,9 +152,9 @@
     play_requests(3s, 600);
     auto const server = view(node(7), s_limited).id();
     auto const late = Policy::RateLimitFact::limited(1, m_now + 2'500ms);
-    node(7).fleet.rate_limits().take({server, late}, Policy::Relaying::No, m_now);
+    node(7).fleet.rate_limits().apply({server, late}, Policy::Relaying::No, m_now);
     state(std::nullopt);
-    play_requests(Policy::RateLimitFacts::s_refresh + BackendFleet::s_recheck_interval * 2 + 1s, 600);
+    play_requests(Policy::RateLimitFacts::s_refresh_interval + BackendFleet::s_recheck_interval * 2 + 1s, 600);
     EXPECT_EQ(believers(), 0U);
 }
 
--- a/Tests/LibPolicy/BackoffWorld.h
+++ b/Tests/LibPolicy/BackoffSimulation.h
@@ -11,11 +11,12 @@
 
 namespace GraniteField::Policy {
 
-/// How a gateway goes on with a server that rejects its requests and requests a backoff.
-enum class BackoffWay {
-    /// After three rejections in a row it is left alone for 250 ms, doubling up to 2 s, whatever it asked for.
+/// Strategy of a gateway towards a server that rejects requests and requests a backoff.
+enum class BackoffStrategy {
+    /// Avoids the server for 250 ms after three consecutive rejections, doubling up to 2 s, whatever backoff it
+    /// requested.
     AfterThreeFailures,
-    /// It is left alone for as long as it asked, and then used as before.
+    /// Avoids the server for the requested backoff and then uses it as before.
     BackoffOnly,
     /// ServerBackoff.
     BackoffThenProbe,
@@ -23,32 +24,32 @@
 
 struct BackoffSettings {
     Core::Milliseconds backoff {1'700};
-    /// Requests per second of the gateway that want the server.
+    /// Requests per second of the gateway for the server.
     double load {50};
-    /// How long the server rejects; it accepts everything afterwards.
-    Core::Milliseconds rejecting {6'000};
+    /// Time for which the server rejects all requests. It accepts all of them afterwards.
+    Core::Milliseconds overload_time {6'000};
     Core::Milliseconds length {20'000};
     std::uint32_t seed {1};
 };
 
 struct BackoffOutcome {
-    /// The most requests that arrived between half a second after a rejection and the end of its time.
-    std::size_t most_in_a_backoff {0};
+    /// Maximum number of requests that arrived during one backoff, from half a second after the rejection on.
+    std::size_t max_requests_in_backoff {0};
     std::size_t rejected {0};
-    /// From the server's recovery until it accepted a request; nothing if it never did.
-    std::optional<Core::Milliseconds> used_after;
+    /// Time from the server's recovery to the first accepted request; nullopt if there was none.
+    std::optional<Core::Milliseconds> recovery_time;
 };
 
-/// A gateway before a server that rejects requests for a while, in simulated time.
-class BackoffWorld {
+/// Simulates a gateway and a server that rejects requests for a while.
+class BackoffSimulation {
 public:
-    explicit BackoffWorld(BackoffSettings const& settings)
+    explicit BackoffSimulation(BackoffSettings const& settings)
         : m_settings(settings)
         , m_random(settings.seed)
     {
     }
 
-    [[nodiscard]] BackoffOutcome play(BackoffWay way)
+    [[nodiscard]] BackoffOutcome simulate(BackoffStrategy strategy)
     {
         std::exponential_distribution<double> gap(m_settings.load);
         auto const next = [&](Core::MonotonicTime time) {
@@ -56,21 +57,21 @@
                 + std::chrono::duration_cast<Core::MonotonicTime::duration>(
                     std::chrono::duration<double>(gap(m_random)));
         };
-        for (auto now = next(s_begin); now < s_begin + m_settings.length; now = next(now)) {
-            take_answers(way, now);
-            if (may_send(way, now))
+        for (auto now = next(s_start); now < s_start + m_settings.length; now = next(now)) {
+            process_answers(strategy, now);
+            if (may_send(strategy, now))
                 send(now);
         }
         return m_outcome;
     }
 
 private:
-    static inline Core::MonotonicTime const s_begin {std::chrono::hours(1)};
+    static inline Core::MonotonicTime const s_start {std::chrono::hours(1)};
     static constexpr Core::Milliseconds s_answer_time {5};
-    static constexpr Core::Milliseconds s_notice {500};
+    static constexpr Core::Milliseconds s_notice_time {500};
     static constexpr unsigned s_failures_to_avoid = 3;
-    static constexpr unsigned s_most_doublings = 3;
-    static constexpr Core::Milliseconds s_shortest_avoidance {250};
+    static constexpr unsigned s_max_doublings = 3;
+    static constexpr Core::Milliseconds s_min_avoidance {250};
 
     struct Answer {
         Core::MonotonicTime sent;
@@ -78,14 +79,14 @@
         bool is_rejection {false};
     };
 
-    [[nodiscard]] bool may_send(BackoffWay way, Core::MonotonicTime now) const
+    [[nodiscard]] bool may_send(BackoffStrategy strategy, Core::MonotonicTime now) const
     {
-        switch (way) {
-        case BackoffWay::AfterThreeFailures:
+        switch (strategy) {
+        case BackoffStrategy::AfterThreeFailures:
             return now >= m_avoided_until;
-        case BackoffWay::BackoffOnly:
+        case BackoffStrategy::BackoffOnly:
             return !m_backoff.is_in_force(now);
-        case BackoffWay::BackoffThenProbe:
+        case BackoffStrategy::BackoffThenProbe:
             return m_backoff.next_send(now) <= now;
         }
         return true;
@@ -94,22 +95,22 @@
     void send(Core::MonotonicTime now)
     {
         m_backoff.note_sent(now);
-        bool const is_rejection = now < s_begin + m_settings.rejecting;
+        bool const is_rejection = now < s_start + m_settings.overload_time;
         for (auto& backoff : m_backoffs) {
-            bool const is_in_backoff = now > backoff.begin + s_notice && now < backoff.begin + m_settings.backoff;
+            bool const is_in_backoff = now > backoff.begin + s_notice_time && now < backoff.begin + m_settings.backoff;
             if (is_in_backoff)
-                m_outcome.most_in_a_backoff = std::max(m_outcome.most_in_a_backoff, ++backoff.arrivals);
+                m_outcome.max_requests_in_backoff = std::max(m_outcome.max_requests_in_backoff, ++backoff.arrivals);
         }
         if (is_rejection) {
             ++m_outcome.rejected;
             m_backoffs.push_back({now, 0});
-        } else if (!m_outcome.used_after) {
-            m_outcome.used_after = Core::elapsed(s_begin + m_settings.rejecting, now);
+        } else if (!m_outcome.recovery_time) {
+            m_outcome.recovery_time = Core::elapsed(s_start + m_settings.overload_time, now);
         }
         m_answers.push_back({now, now + s_answer_time, is_rejection});
     }
 
-    void take_answers(BackoffWay way, Core::MonotonicTime now)
+    void process_answers(BackoffStrategy strategy, Core::MonotonicTime now)
     {
         while (!m_answers.empty() && m_answers.front().received <= now) {
             auto const answer = m_answers.front();
@@ -120,9 +121,9 @@
                 continue;
             }
             m_backoff.note_rejected(m_settings.backoff, answer.received);
-            if (way == BackoffWay::AfterThreeFailures && ++m_failures >= s_failures_to_avoid) {
-                auto const doublings = std::min(m_avoidances++, s_most_doublings);
-                m_avoided_until = answer.received + s_shortest_avoidance * (1U << doublings);
+            if (strategy == BackoffStrategy::AfterThreeFailures && ++m_failures >= s_failures_to_avoid) {
+                auto const doublings = std::min(m_avoidances++, s_max_doublings);
+                m_avoided_until = answer.received + s_min_avoidance * (1U << doublings);
             }
         }
     }
--- a/Tests/LibPolicy/LimitSharesTest.cpp
+++ b/Tests/LibPolicy/LimitSharesTest.cpp
@@ -1,5 +1,5 @@
 // Guards against gateways that together exceed a rate limit.
-#include "LimitWorld.h"
+#include "LimitSimulation.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -13,24 +13,24 @@
 constexpr std::uint64_t s_server = 5;
 Core::MonotonicTime const s_start {1h};
 
-/// Every gateway always has a request for the server.
+/// Settings with which every gateway always has a request for the server.
 LimitSettings flood(std::size_t gateways, double rate)
 {
     LimitSettings settings;
     settings.gateways = gateways;
     settings.rate = rate;
     settings.load = static_cast<double>(gateways) * std::max(10.0, rate);
-    settings.limited = settings.length = 20s;
+    settings.limit_time = settings.length = 20s;
     return settings;
 }
 
 void expect_kept(LimitSettings const& settings)
 {
-    auto const outcome = LimitWorld(settings).play(LimitWay::ChangingSenders);
+    auto const outcome = LimitSimulation(settings).simulate(LimitStrategy::RotatingSenders);
     for (auto const& finding : outcome.findings)
         ADD_FAILURE() << settings.gateways << " gateways, seed " << settings.seed << ": " << finding;
-    // It accepts so much, and callers want it.
-    EXPECT_GT(outcome.used, 0.7) << settings.gateways << " gateways, " << settings.rate << " a second";
+    // The limit must be used, since callers have enough requests.
+    EXPECT_GT(outcome.used_fraction, 0.7) << settings.gateways << " gateways, " << settings.rate << " a second";
 }
 
 }
@@ -46,22 +46,22 @@
 RC_GTEST_PROP(LimitShares, KeepsALimitWithATenthOfTheMembershipUnknown, ())
 {
     auto settings = flood(*rc::gen::element<std::size_t>(4, 30, 100), *rc::gen::element(0.3, 0.5, 1.0, 2.5, 8.0));
-    settings.unknown = 0.1;
+    settings.unknown_fraction = 0.1;
     settings.seed = *rc::gen::inRange<std::uint32_t>(0, 100'000);
-    settings.limited = settings.length = 12s;
-    RC_ASSERT(LimitWorld(settings).play(LimitWay::ChangingSenders).findings.empty());
+    settings.limit_time = settings.length = 12s;
+    RC_ASSERT(LimitSimulation(settings).simulate(LimitStrategy::RotatingSenders).findings.empty());
 }
 
 TEST(LimitShares, FindsTheEndOfALimitThroughFewGatewaysWithRequests)
 {
     for (std::uint32_t seed = 1; seed <= 20; ++seed) {
         LimitSettings settings;
-        settings.active = 0.1;
-        settings.limited = 10s;
+        settings.active_fraction = 0.1;
+        settings.limit_time = 10s;
         settings.length = 180s;
         settings.seed = seed;
-        auto const outcome = LimitWorld(settings).play(LimitWay::ChangingSenders);
-        EXPECT_TRUE(outcome.found_after) << "seed " << seed;
+        auto const outcome = LimitSimulation(settings).simulate(LimitStrategy::RotatingSenders);
+        EXPECT_TRUE(outcome.detection_time) << "seed " << seed;
     }
 }
 
@@ -87,7 +87,7 @@
     EXPECT_TRUE(shares.may_send(s_server, limit, s_start + 2s));
 }
 
-// Callers receive this time as Retry-After.
+// The returned time is sent to callers as Retry-After.
 TEST(LimitShares, AllowsARequestAtTheReturnedTime)
 {
     for (std::uint64_t self = 0; self < 30; ++self) {
--- a/Tests/LibPolicy/RateLimitFactTest.cpp
+++ b/Tests/LibPolicy/RateLimitFactTest.cpp
@@ -1,4 +1,4 @@
-// Merging and reporting of rate limits, in any order of answers and reports.
+// Tests for merging and reporting rate limits, with answers and reports in any order.
 #include <LibPolicy/RateLimitFact.h>
 
 #include <algorithm>
@@ -52,7 +52,7 @@
     EXPECT_FALSE(fact.limit());
 }
 
-TEST(RateLimitFact, CountsItsTermsFromTheFirstStatement)
+TEST(RateLimitFact, StartsTermsAtTheFirstStatement)
 {
     auto fact = RateLimitFact::limited(1, s_start + 300ms);
     fact.merge(RateLimitFact::limited(2, s_start + 200ms));
@@ -68,31 +68,31 @@
     RateLimitFacts facts;
     EXPECT_FALSE(facts.has_due_reports(s_start));
     EXPECT_EQ(facts.note(s_server, RateLimitFact::limited(1, s_start), s_start), FactChange::Changed);
-    std::size_t told = 0;
+    std::size_t report_count = 0;
     for (auto now = s_start; now < s_start + 2s; now += 10ms)
-        told += facts.take_due_reports(now).size();
-    EXPECT_EQ(told, RateLimitFacts::s_repetitions);
+        report_count += facts.take_due_reports(now).size();
+    EXPECT_EQ(report_count, RateLimitFacts::s_repetitions);
     EXPECT_FALSE(facts.has_due_reports(s_start + 2s));
 }
 
 TEST(RateLimitFacts, RefreshesAConfirmedLimit)
 {
     RateLimitFacts facts;
-    std::size_t told = 0;
+    std::size_t report_count = 0;
     for (auto now = s_start; now < s_start + 20s; now += 100ms) {
         facts.note(s_server, RateLimitFact::limited(1, now), now);
-        told += facts.take_due_reports(now).size();
+        report_count += facts.take_due_reports(now).size();
     }
-    EXPECT_EQ(told, RateLimitFacts::s_repetitions + 4);
+    EXPECT_EQ(report_count, RateLimitFacts::s_repetitions + 4);
 }
 
 TEST(RateLimitFacts, ForwardsReportsOfItsOwnGatewaysOnly)
 {
     RateLimitFacts facts;
-    facts.take({s_server, RateLimitFact::limited(1, s_start)}, Relaying::No, s_start);
+    facts.apply({s_server, RateLimitFact::limited(1, s_start)}, Relaying::No, s_start);
     EXPECT_TRUE(facts.find(s_server)->limit());
     EXPECT_FALSE(facts.has_due_reports(s_start));
-    facts.take({s_server, RateLimitFact::limited(2, s_start + 1ms)}, Relaying::Yes, s_start + 1ms);
+    facts.apply({s_server, RateLimitFact::limited(2, s_start + 1ms)}, Relaying::Yes, s_start + 1ms);
     EXPECT_TRUE(facts.has_due_reports(s_start + 1ms));
 }
 
@@ -100,13 +100,13 @@
 {
     RateLimitFacts facts;
     auto const is_listed = [](auto) { return true; };
-    auto const is_gone = [](auto) { return false; };
+    auto const is_unlisted = [](auto) { return false; };
     facts.note(s_server, RateLimitFact::limited(1, s_start), s_start);
     facts.forget_old(is_listed, s_start + 1h);
     EXPECT_NE(facts.find(s_server), nullptr);
-    facts.forget_old(is_gone, s_start + 1s);
+    facts.forget_old(is_unlisted, s_start + 1s);
     EXPECT_NE(facts.find(s_server), nullptr);
-    facts.forget_old(is_gone, s_start + 1h);
+    facts.forget_old(is_unlisted, s_start + 1h);
     EXPECT_TRUE(facts.is_empty());
     EXPECT_FALSE(facts.has_due_reports(s_start + 1h));
     facts.note(s_server, RateLimitFact::unlimited(s_start), s_start);
--- a/Tests/LibPolicy/ServerBackoffTest.cpp
+++ b/Tests/LibPolicy/ServerBackoffTest.cpp
@@ -1,5 +1,5 @@
 // Guards against requests during a backoff, and against a burst of them at its end.
-#include "BackoffWorld.h"
+#include "BackoffSimulation.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -39,7 +39,7 @@
     EXPECT_EQ(backoff.next_send(end), end);
     backoff.note_sent(end);
     EXPECT_EQ(backoff.next_send(end + 1ms), end + ServerBackoff::s_probe_interval);
-    // The answer to a request from before the rejection.
+    // Answer to a request that was sent before the rejection.
     backoff.note_accepted(s_start - 1ms);
     EXPECT_GT(backoff.next_send(end + 1ms), end + 1ms);
     backoff.note_accepted(end);
@@ -62,16 +62,16 @@
     EXPECT_EQ(backoff.next_send(s_start), s_start + std::chrono::hours(24 * 365));
 }
 
-RC_GTEST_PROP(ServerBackoff, HoldsAtAnyLoad, ())
+RC_GTEST_PROP(ServerBackoff, LimitsRequestsDuringABackoffAtAnyLoad, ())
 {
     BackoffSettings settings;
     settings.backoff = Core::Milliseconds(*rc::gen::inRange(300, 5'000));
     settings.load = *rc::gen::element(5.0, 50.0, 500.0);
     settings.seed = *rc::gen::inRange<std::uint32_t>(0, 100'000);
-    auto const outcome = BackoffWorld(settings).play(BackoffWay::BackoffThenProbe);
-    RC_ASSERT(outcome.most_in_a_backoff <= 2U);
-    RC_ASSERT(outcome.used_after.has_value());
-    RC_ASSERT(*outcome.used_after <= settings.backoff + 1s);
+    auto const outcome = BackoffSimulation(settings).simulate(BackoffStrategy::BackoffThenProbe);
+    RC_ASSERT(outcome.max_requests_in_backoff <= 2U);
+    RC_ASSERT(outcome.recovery_time.has_value());
+    RC_ASSERT(*outcome.recovery_time <= settings.backoff + 1s);
 }
 
 }
