--- a/Tests/Experiments/added_latency.cpp
+++ b/Tests/Experiments/added_latency.cpp
@@ -1,5 +1,5 @@
-// What the whole path adds to a streamed completion over the engine called directly: both in one run, in turn,
-// while other callers keep the fleet at half load.
+// Measures the latency that the whole path adds to a streamed completion: calls through the fleet alternate with
+// direct calls to the engine, while other callers keep the fleet at half load.
 #include "Fleet.h"
 
 #include <LibCore/Text.h>
@@ -22,10 +22,10 @@
 using Testing::Json;
 
 constexpr int s_rounds = 600;
-/// The shared engine runs eight at once, and each side process takes four.
+/// Callers that load the fleet. The shared engine runs eight requests at once, each side process four.
 constexpr unsigned s_other_callers = 3;
 
-/// Notes when the first byte of the body came; the status line alone says nothing of a token.
+/// Records the time of the first byte of the body. The status line is sent before any token.
 std::size_t note_first_byte(char*, std::size_t size, std::size_t count, void* user)
 {
     auto& first = *static_cast<std::optional<Core::MonotonicTime>*>(user);
@@ -34,7 +34,7 @@
     return size * count;
 }
 
-/// Calls again and again over one kept connection, as clients do.
+/// Sends calls over one persistent connection, as clients do.
 class TimedCaller {
 public:
     TimedCaller(std::uint16_t port, std::vector<std::string> const& headers)
@@ -102,7 +102,7 @@
 
 int main(int argument_count, char** arguments)
 {
-    // NOTE: Without proxies between the processes, so that only the product is measured.
+    // No proxies between the processes, so that only this software is measured.
     auto const other_callers = argument_count > 1 ? static_cast<unsigned>(std::atoi(arguments[1])) : s_other_callers;
     Fleet fleet;
     fleet.add_class("clerk", {{"tier", "1"}});
@@ -110,7 +110,7 @@
         fleet.add_shared_model_backend(name);
     fleet.start(1);
 
-    // Other callers, one after the other without a pause, keep about half of the slots busy.
+    // Other callers send requests without a pause and keep about half of the slots busy.
     std::atomic<bool> should_stop {false};
     std::vector<std::thread> others;
     for (unsigned caller = 0; caller < other_callers; ++caller) {
--- a/Tests/Experiments/crashing_requests.cpp
+++ b/Tests/Experiments/crashing_requests.cpp
@@ -11,14 +11,14 @@
 
 constexpr unsigned s_seeds = 20;
 
-template <typename Detector>
-void print(std::string const& scenario_name, std::string const& strategy, CrashScenario const& scenario)
+template <typename Strategy>
+void print(std::string const& scenario_name, std::string const& strategy_name, CrashScenario const& scenario)
 {
     CrashOutcome sum;
     int max_late_sends = 0;
     int runs_over_limit = 0;
     for (unsigned seed = 1; seed <= s_seeds; ++seed) {
-        auto const outcome = CrashSimulation<Detector>(scenario, seed).simulate();
+        auto const outcome = CrashSimulation<Strategy>(scenario, seed).simulate();
         max_late_sends = std::max(max_late_sends, outcome.late_sends);
         runs_over_limit += outcome.late_sends > 3 ? 1 : 0;
         sum.quarantined_harmless += outcome.quarantined_harmless;
@@ -26,15 +26,15 @@
         sum.served += outcome.served;
         sum.crashes += outcome.crashes;
     }
-    std::cout << scenario_name << " | " << strategy << " | " << max_late_sends << " | " << runs_over_limit << " | "
+    std::cout << scenario_name << " | " << strategy_name << " | " << max_late_sends << " | " << runs_over_limit << " | "
               << sum.quarantined_harmless << " | " << 1000 * sum.served / sum.harmless << " | " << sum.crashes << '\n';
 }
 
 void compare(std::string const& name, CrashScenario const& scenario)
 {
-    print<CountingDetector>(name, "count", scenario);
-    print<BlameSharingDetector>(name, "shared", scenario);
-    print<LedgerDetector>(name, "ledger", scenario);
+    print<CountingStrategy>(name, "count", scenario);
+    print<BlameSharingStrategy>(name, "shared", scenario);
+    print<LedgerStrategy>(name, "ledger", scenario);
 }
 
 }
--- a/Tests/Experiments/experiment.cpp
+++ b/Tests/Experiments/experiment.cpp
@@ -1,5 +1,5 @@
-// Runs a scenario against a fleet of real processes, once for each policy and repeat in turn, and prints what
-// came of it. This is how the figures in docs/MEASUREMENTS.md are made.
+// Runs a scenario against a fleet of real processes, once for each policy and repetition in turn, and prints the
+// results. docs/MEASUREMENTS.md holds figures made with it.
 #include "Fleet.h"
 #include "LoadRunner.h"
 #include "Results.h"
@@ -73,8 +73,8 @@
     fleet.start(settings.value("entries", 1U), entry);
 }
 
-/// What the scenario does to the fleet while the load runs: `{"at-ms": 5000, "runner": 0, "slowness": 4}` or
-/// `{"at-ms": 5000, "runner": 1, "crash": true}`.
+/// Injects the faults of the scenario while the load runs: `{"at-ms": 5000, "runner": 0, "slowness": 4}` or `{"at-ms":
+/// 5000, "runner": 1, "crash": true}`.
 void make_faults(Fleet& fleet, Json const& faults)
 {
     auto const start = std::chrono::steady_clock::now();
@@ -88,7 +88,7 @@
     }
 }
 
-/// Processor time that a process has used, in seconds.
+/// Processor time used by a process, in seconds.
 double processor_seconds(pid_t id)
 {
     std::ifstream file(Core::concat("/proc/", id, "/stat"));
--- a/Tests/Experiments/region.cpp
+++ b/Tests/Experiments/region.cpp
@@ -1,6 +1,6 @@
-// One region's slice of the target on this machine: many entries and side processes before one small engine.
-// Prints what each process uses for control, how long a change of the table takes to be in force everywhere,
-// and what the platform is asked for. docs/CAPACITY.md compares it with its predictions.
+// Measures the load of one region on this machine, with many entries and side processes and one small engine:
+// resources that each process uses for control, the time until a change of the table applies everywhere, and the calls
+// to the platform. docs/CAPACITY.md compares them with its predictions.
 #include "Fleet.h"
 
 #include <LibCore/Text.h>
@@ -148,7 +148,7 @@
     std::printf("%u entries, %u sides, %u workspaces: ready after %.1f s\n", entries, sides, workspace_count.getValue(),
         std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count());
 
-    // Entries that have just started still learn of each other, and hold the watches that they began with.
+    // Entries that have just started are still discovering each other and hold their initial watches.
     std::this_thread::sleep_for(std::chrono::seconds(settle_seconds.getValue()));
     auto const before = take_sample(fleet, entries, sides);
     auto const idle_start = std::chrono::steady_clock::now();
@@ -182,7 +182,7 @@
         (mean(changed.peer_bytes) - mean(after.peer_bytes)) / s_changes);
     return 0;
 } catch (std::exception const& error) {
-    // The fleet's processes end with it on the way here.
+    // The fleet's destructor has ended its processes.
     std::fprintf(stderr, "region: %s\n", error.what());
     return 1;
 }
--- a/Tests/Experiments/starved_hosts.cpp
+++ b/Tests/Experiments/starved_hosts.cpp
@@ -1,5 +1,5 @@
-// How gateways judge silence while others take their processors: false elections, changes of the relay and datagrams by
-// the mean wait for a processor, and the time until dead watchers are replaced.
+// Measures how gateways judge silence while other processes take processor time: false elections, changes of the relay
+// and datagrams by the mean wait for a processor, and the time until killed watchers are replaced.
 #include "StarvedFleet.h"
 
 #include <absl/strings/str_format.h>
--- a/Tests/LibPolicy/ColdSimulation.h
+++ b/Tests/LibPolicy/ColdSimulation.h
@@ -63,9 +63,9 @@
     [[nodiscard]] ColdOutcome simulate(ColdStrategy strategy)
     {
         Core::MonotonicTime const start {std::chrono::hours(1)};
-        auto const restarted_fraction
+        auto const restarted_count
             = static_cast<std::size_t>(m_settings.restarted_fraction * static_cast<double>(m_gateways.size()));
-        for (std::size_t number = restarted_fraction; number < m_gateways.size(); ++number)
+        for (std::size_t number = restarted_count; number < m_gateways.size(); ++number)
             set_membership(number);
         std::exponential_distribution<double> gap(m_settings.load);
         std::uniform_int_distribution<std::size_t> any_gateway(0, m_gateways.size() - 1);
@@ -74,7 +74,7 @@
              passed += std::chrono::duration<double>(gap(m_random))) {
             auto const now = start + std::chrono::duration_cast<Core::MonotonicTime::duration>(passed);
             if (!is_membership_known && passed >= m_settings.membership_delay) {
-                for (std::size_t number = 0; number < restarted_fraction; ++number)
+                for (std::size_t number = 0; number < restarted_count; ++number)
                     set_membership(number);
                 is_membership_known = true;
             }
--- a/Tests/LibPolicy/CrashLedgerTest.cpp
+++ b/Tests/LibPolicy/CrashLedgerTest.cpp
@@ -264,7 +264,7 @@
         {.broken_hosts = 1}, {.broken_hosts = 3}, {.crashing_requests = 1, .broken_hosts = 1}};
     for (std::size_t index = 0; index < scenarios.size(); ++index) {
         for (unsigned seed = 1; seed <= 5; ++seed) {
-            auto const outcome = Testing::CrashSimulation<Testing::LedgerDetector>(scenarios[index], seed).simulate();
+            auto const outcome = Testing::CrashSimulation<Testing::LedgerStrategy>(scenarios[index], seed).simulate();
             EXPECT_EQ(outcome.quarantined_harmless, 0) << index << ' ' << seed;
             EXPECT_LE(outcome.late_sends, 3) << index << ' ' << seed;
         }
@@ -280,7 +280,7 @@
     int harmless = 0;
     for (unsigned seed = 1; seed <= 5; ++seed) {
         auto const outcome
-            = Testing::CrashSimulation<Testing::LedgerDetector>({.crashing_requests = 1}, seed).simulate();
+            = Testing::CrashSimulation<Testing::LedgerStrategy>({.crashing_requests = 1}, seed).simulate();
         served += outcome.served;
         harmless += outcome.harmless;
     }
--- a/Tests/LibPolicy/CrashSimulation.h
+++ b/Tests/LibPolicy/CrashSimulation.h
@@ -14,26 +14,26 @@
 
 /// Strategy for detecting the requests that crash servers.
 template <typename T>
-concept CrashDetector = requires(
-    T detector, Policy::CrashWitness const& witness, Core::RequestDigest const& digest, Core::MonotonicTime now)
+concept QuarantineStrategy = requires(
+    T strategy, Policy::CrashWitness const& witness, Core::RequestDigest const& digest, Core::MonotonicTime now)
 {
-    detector.note_crash(witness, now);
-    detector.note_success(digest, now);
-    detector.tick(now);
+    strategy.note_crash(witness, now);
+    strategy.note_success(digest, now);
+    strategy.tick(now);
     {
-        detector.is_quarantined(digest, now)
+        strategy.is_quarantined(digest, now)
         } -> std::same_as<bool>;
     /// Whether the request should be delayed until more is known.
     {
-        detector.is_suspected(digest, now)
+        strategy.is_suspected(digest, now)
         } -> std::same_as<bool>;
     {
-        detector.crashed_addresses(digest)
+        strategy.crashed_addresses(digest)
         } -> std::same_as<std::vector<std::uint64_t>>;
 };
 
 /// Quarantines a request after three crashes. Completion clears it.
-class CountingDetector {
+class CountingStrategy {
 public:
     void note_crash(Policy::CrashWitness const& witness, Core::MonotonicTime)
     {
@@ -55,7 +55,7 @@
 
 /// Divides the blame for each crash equally among the requests present, and quarantines a request with at least three
 /// crashes and a total blame of one server. Completion clears it.
-class BlameSharingDetector {
+class BlameSharingStrategy {
 public:
     void note_crash(Policy::CrashWitness const& witness, Core::MonotonicTime)
     {
@@ -88,7 +88,7 @@
 };
 
 /// Uses CrashLedger.
-class LedgerDetector {
+class LedgerStrategy {
 public:
     void note_crash(Policy::CrashWitness const& witness, Core::MonotonicTime now) { m_ledger.note_crash(witness, now); }
     void note_success(Core::RequestDigest const& digest, Core::MonotonicTime now)
@@ -142,9 +142,9 @@
 
 /// Simulates a minute with nine servers: harmless streams of 0.3 to 2 s, which are resent once after a crash and
 /// retried once by the caller, and requests that crash the server 20 to 100 ms after their start. Servers restart
-/// after two to four seconds. The detector receives each report 150 ms late, which stands for the delay between
+/// after two to four seconds. The strategy receives each report 150 ms late, which stands for the delay between
 /// gateways.
-template <CrashDetector Detector>
+template <QuarantineStrategy Strategy>
 class CrashSimulation {
 public:
     CrashSimulation(CrashScenario scenario, unsigned seed)
@@ -164,7 +164,7 @@
             process_arrivals();
             crash_spontaneously();
             run_servers();
-            m_detector.tick(m_now);
+            m_strategy.tick(m_now);
         }
         for (auto const& [digest, sends] : m_late_sends)
             m_outcome.late_sends = std::max(m_outcome.late_sends, sends);
@@ -228,7 +228,7 @@
         std::erase_if(m_pending_reports, [&](auto const& report) {
             if (report.at > m_now)
                 return false;
-            m_detector.note_crash(report.witness, m_now);
+            m_strategy.note_crash(report.witness, m_now);
             return true;
         });
     }
@@ -269,11 +269,11 @@
 
     void send(Request request)
     {
-        if (m_detector.is_suspected(request.digest, m_now)) {
+        if (m_strategy.is_suspected(request.digest, m_now)) {
             m_delayed.push_back({m_now + s_suspicion_retry_interval, request});
             return;
         }
-        if (m_detector.is_quarantined(request.digest, m_now)) {
+        if (m_strategy.is_quarantined(request.digest, m_now)) {
             m_outcome.quarantined_harmless += request.is_crashing ? 0 : 1;
             return;
         }
@@ -290,7 +290,7 @@
 
     Server* choose(Core::RequestDigest const& digest)
     {
-        auto const avoided = m_detector.crashed_addresses(digest);
+        auto const avoided = m_strategy.crashed_addresses(digest);
         std::vector<Server*> up;
         std::vector<Server*> preferred;
         for (std::size_t index = 0; index < s_servers; ++index) {
@@ -372,7 +372,7 @@
                 if (run.end > m_now)
                     return false;
                 ++m_outcome.served;
-                m_detector.note_success(run.request.digest, m_now);
+                m_strategy.note_success(run.request.digest, m_now);
                 return true;
             });
         }
@@ -380,7 +380,7 @@
 
     CrashScenario m_scenario;
     std::mt19937 m_generator;
-    Detector m_detector;
+    Strategy m_strategy;
     Time m_now {s_start};
     std::uint64_t m_incarnations {0};
     std::vector<Server> m_servers;
--- a/Tests/LibPolicy/LimitSimulation.h
+++ b/Tests/LibPolicy/LimitSimulation.h
@@ -71,10 +71,10 @@
         for (std::size_t number = 0; number < m_gateways.size(); ++number)
             set_membership(number);
         m_judge.note_stated(s_server_name, m_settings.rate, s_start);
-        auto const active_fraction = std::max<std::size_t>(
+        auto const active_count = std::max<std::size_t>(
             1, static_cast<std::size_t>(m_settings.active_fraction * static_cast<double>(m_gateways.size())));
         std::exponential_distribution<double> gap(m_settings.load);
-        std::uniform_int_distribution<std::size_t> any_gateway(0, active_fraction - 1);
+        std::uniform_int_distribution<std::size_t> any_gateway(0, active_count - 1);
         for (auto now = next_request(s_start, gap); now < s_start + m_settings.length; now = next_request(now, gap)) {
             if (now >= s_start + m_settings.limit_time && !m_has_ended) {
                 m_has_ended = true;
