--- a/Libraries/LibGateway/GatewayServer.cpp
+++ b/Libraries/LibGateway/GatewayServer.cpp
@@ -184,8 +184,9 @@
     auto const now = Core::monotonic_now();
     if (auto const error = refuse_for_stop(call, now))
         return refuse(*caller, id, *error);
-    auto& begun = *m_runs.emplace_back(std::make_unique<GatewayRun>(m_context, std::move(call), std::move(caller)));
-    begun.begin(now);
+    auto& begun
+        = *m_runs.emplace_back(std::make_unique<RequestForwarder>(m_context, std::move(call), std::move(caller)));
+    begun.start(now);
 }
 
 bool GatewayServer::keep_for_table(std::shared_ptr<CallerConnection> const& caller, HTTP::RequestHead& head,
@@ -355,7 +356,7 @@
     if (m_stalls.note_tick(now)) {
         m_log.write(Observe::LogEvent("was-away").add("in_flight", m_runs.size()));
         for (auto const& run : m_runs)
-            run->note_absence(now);
+            run->note_process_stall(now);
     }
     m_context.entry_count = m_membership.other_entries + 1;
     follow_members();
@@ -377,7 +378,7 @@
 
 void GatewayServer::tick_runs(Core::MonotonicTime now)
 {
-    std::vector<GatewayRun*> waiting;
+    std::vector<RequestForwarder*> waiting;
     for (auto const& run : m_runs) {
         if (run->is_waiting())
             waiting.push_back(run.get());
--- a/Libraries/LibGateway/GatewayServer.h
+++ b/Libraries/LibGateway/GatewayServer.h
@@ -7,7 +7,7 @@
 #include <LibEntry/SharedServers.h>
 #include <LibEntry/SharedTable.h>
 #include <LibGateway/EarlyRequests.h>
-#include <LibGateway/GatewayRun.h>
+#include <LibGateway/RequestForwarder.h>
 
 #include <atomic>
 #include <list>
@@ -34,7 +34,7 @@
         Core::Address readiness;
         std::string readiness_path {"/readyz"};
         BackendFleet::Settings fleet;
-        RunSettings runs;
+        ForwardingSettings runs;
         Dialect dialect;
         /// How long a planned stop goes on taking requests: the balancer needs it to notice.
         Core::Milliseconds drain_notice {2'500};
@@ -127,14 +127,14 @@
     CrashWatch m_crashes;
     std::optional<DutySharing> m_duty_sharing;
     LoadExchange m_load;
-    RunContext m_context;
+    ForwardingContext m_context;
     std::unique_ptr<CallerHandler> m_caller_handler;
     std::unique_ptr<ReadinessHandler> m_readiness_handler;
     Acceptor m_caller_acceptor;
     Acceptor m_readiness_acceptor;
     boost::asio::steady_timer m_timer;
     std::list<std::shared_ptr<CallerConnection>> m_connections;
-    std::list<std::unique_ptr<GatewayRun>> m_runs;
+    std::list<std::unique_ptr<RequestForwarder>> m_runs;
     EarlyRequests m_early_requests;
     std::shared_ptr<Table::Table const> m_table;
     /// Since when the table is in force here; the process's start before the first one.
--- a/Libraries/LibGateway/GatewayRun.cpp
+++ b/Libraries/LibGateway/RequestForwarder.cpp
@@ -1,4 +1,4 @@
-#include <LibGateway/GatewayRun.h>
+#include <LibGateway/RequestForwarder.h>
 
 #include <LibCore/Hashing.h>
 #include <LibCore/Text.h>
@@ -15,7 +15,7 @@
 using Entry::Outcome;
 namespace Status = HTTP::Status;
 
-Policy::FleetRetryBudget& RunContext::budget_of(std::string const& service)
+Policy::FleetRetryBudget& ForwardingContext::budget_of(std::string const& service)
 {
     auto& budget = budgets.try_emplace(service, settings.retries).first->second;
     budget.set_allowance(settings.retries);
@@ -23,7 +23,8 @@
     return budget;
 }
 
-GatewayRun::GatewayRun(RunContext& context, RoutedRequest request, std::shared_ptr<CallerConnection> caller)
+RequestForwarder::RequestForwarder(
+    ForwardingContext& context, RoutedRequest request, std::shared_ptr<CallerConnection> caller)
     : m_context(context)
     , m_request(std::move(request))
     , m_caller(std::move(caller))
@@ -31,7 +32,7 @@
     m_caller->set_on_gone([this] { handle_caller_gone(); });
 }
 
-GatewayRun::~GatewayRun()
+RequestForwarder::~RequestForwarder()
 {
     if (m_attempt)
         m_attempt->cancel();
@@ -39,13 +40,13 @@
         m_caller->set_on_gone(nullptr);
 }
 
-void GatewayRun::begin(Core::MonotonicTime now)
+void RequestForwarder::start(Core::MonotonicTime now)
 {
     m_context.budget_of(m_request.service).note_first_send(now);
     dispatch(now);
 }
 
-void GatewayRun::dispatch(Core::MonotonicTime now)
+void RequestForwarder::dispatch(Core::MonotonicTime now)
 {
     if (now >= m_request.deadline)
         return give_up(now);
@@ -68,19 +69,19 @@
     send_to(choice, now);
 }
 
-bool GatewayRun::is_quarantined(Core::MonotonicTime now) const
+bool RequestForwarder::is_quarantined(Core::MonotonicTime now) const
 {
     auto& ledger = m_context.crashes.ledger();
     return ledger.count_quarantined() > 0 && ledger.is_quarantined(m_request.digest(), now);
 }
 
-bool GatewayRun::is_in_doubt(Core::MonotonicTime now) const
+bool RequestForwarder::is_in_doubt(Core::MonotonicTime now) const
 {
     auto const& ledger = m_context.crashes.ledger();
     return !ledger.is_empty() && ledger.is_in_doubt(m_request.digest(), now);
 }
 
-void GatewayRun::hold_back()
+void RequestForwarder::hold_back()
 {
     m_context.metrics.note_held_back();
     drop_unsent_attempt();
@@ -91,20 +92,20 @@
     fail(Status::s_bad_gateway, "quarantined", "this request has crashed the servers that began it");
 }
 
-bool GatewayRun::has_run_for_long(Core::MonotonicTime now) const
+bool RequestForwarder::has_run_for_long(Core::MonotonicTime now) const
 {
     auto const head_came = m_attempt->head_came();
-    return head_came && Core::elapsed(*head_came, now) > m_context.settings.just_begun;
+    return head_came && Core::elapsed(*head_came, now) > m_context.settings.recent_start_limit;
 }
 
-void GatewayRun::recall()
+void RequestForwarder::recall()
 {
     m_may_have_run = true;
     drop_unsent_attempt();
     hold_back();
 }
 
-Choice GatewayRun::choose(Core::MonotonicTime now) const
+Choice RequestForwarder::choose(Core::MonotonicTime now) const
 {
     auto const& ledger = m_context.crashes.ledger();
     auto const without = excluded();
@@ -122,7 +123,7 @@
     return m_context.fleet.choose(m_request, without, now);
 }
 
-std::optional<Policy::Rejection> GatewayRun::refuse_now(Choice const& choice, Core::MonotonicTime now)
+std::optional<Policy::Rejection> RequestForwarder::refuse_now(Choice const& choice, Core::MonotonicTime now)
 {
     // What was taken once goes on: a fault is no reason to refuse it.
     bool const has_just_come = m_sends == 0 && m_unsent == 0;
@@ -134,13 +135,13 @@
     return m_context.admission.refuse(question, own_draw(), now);
 }
 
-double GatewayRun::own_draw() const
+double RequestForwarder::own_draw() const
 {
     constexpr std::uint64_t steps = 1'000;
     return static_cast<double>(Core::hash_bytes(m_request.id) % steps) / steps;
 }
 
-void GatewayRun::tell_rejection(Policy::Rejection const& rejection) const
+void RequestForwarder::tell_rejection(Policy::Rejection const& rejection) const
 {
     auto const whole = [](Policy::FineTime time) { return std::chrono::duration_cast<Core::Milliseconds>(time); };
     m_context.log.write(Observe::LogEvent("not-admitted")
@@ -158,14 +159,14 @@
                             .add("open", m_choice.server->load().open));
 }
 
-std::set<std::string> GatewayRun::excluded() const
+std::set<std::string> RequestForwarder::excluded() const
 {
     auto servers = m_tried;
     servers.insert(m_unreached.begin(), m_unreached.end());
     return servers;
 }
 
-void GatewayRun::hold(Core::MonotonicTime now)
+void RequestForwarder::hold(Core::MonotonicTime now)
 {
     // What does not change by itself is not waited for.
     switch (m_context.fleet.unavailability(m_request)) {
@@ -194,12 +195,12 @@
     fail(Status::s_bad_gateway, "no_backend_server", "no backend server of the service can be reached");
 }
 
-Core::Milliseconds GatewayRun::return_delay(Opening const& opening, Core::MonotonicTime now) const
+Core::Milliseconds RequestForwarder::return_delay(Opening const& opening, Core::MonotonicTime now) const
 {
     return Policy::return_delay(Core::elapsed(now, opening.anywhere), m_request.priority, own_draw());
 }
 
-void GatewayRun::send_to(Choice const& choice, Core::MonotonicTime now)
+void RequestForwarder::send_to(Choice const& choice, Core::MonotonicTime now)
 {
     m_choice = choice;
     // What broke the first try off may be the engine that it was to fetch from: the next one rests on no other engine.
@@ -236,7 +237,7 @@
         m_sends == 0 ? Observe::LogWeight::Ordinary : Observe::LogWeight::Notable);
 }
 
-std::string GatewayRun::request_for(BackendView const& server, Core::MonotonicTime now) const
+std::string RequestForwarder::request_for(BackendView const& server, Core::MonotonicTime now) const
 {
     auto const& dialect = m_context.dialect;
     auto const& head = m_request.head;
@@ -280,12 +281,12 @@
     return text;
 }
 
-GatewayRun::AttemptResult GatewayRun::result_of_error(Core::MonotonicTime now) const
+RequestForwarder::AttemptResult RequestForwarder::result_of_error(Core::MonotonicTime now) const
 {
     return m_attempt->server().backoff().is_in_force(now) ? AttemptResult::Rejected : AttemptResult::Failure;
 }
 
-void GatewayRun::end_attempt(AttemptResult result, Core::MonotonicTime now)
+void RequestForwarder::end_attempt(AttemptResult result, Core::MonotonicTime now)
 {
     auto const attempt = std::exchange(m_attempt, nullptr);
     auto& server = attempt->server();
@@ -307,20 +308,21 @@
     boost::asio::post(m_context.loop, [attempt] {});
 }
 
-void GatewayRun::note_running(Core::MonotonicTime begun)
+void RequestForwarder::note_running(Core::MonotonicTime begun)
 {
     if (m_context.usage == nullptr || m_request.workspace.empty() || std::exchange(*m_is_counted, true))
         return;
     m_context.usage->count(m_request.workspace, begun);
 }
 
-void GatewayRun::note_unanswered()
+void RequestForwarder::note_unanswered()
 {
     if (m_attempt && m_attempt->is_sent() && !m_request.is_stream())
         note_running(m_attempt->begun());
 }
 
-void GatewayRun::handle_failure(BackendAttempt& attempt, BackendAttempt::Failure failure, std::string const& reason)
+void RequestForwarder::handle_failure(
+    BackendAttempt& attempt, BackendAttempt::Failure failure, std::string const& reason)
 {
     auto const now = Core::monotonic_now();
     if (failure == BackendAttempt::Failure::Broken) {
@@ -336,12 +338,12 @@
                             .add("request", m_request.id)
                             .add("server", m_choice.server->record().instance)
                             .add("reason", reason));
-    if (++m_unsent >= m_context.settings.most_connects)
+    if (++m_unsent >= m_context.settings.max_connects)
         return fail(Status::s_bad_gateway, "unreachable", "no backend server took the connection");
     dispatch(now);
 }
 
-void GatewayRun::handle_not_run(Core::MonotonicTime now)
+void RequestForwarder::handle_not_run(Core::MonotonicTime now)
 {
     auto const status = m_attempt->parser().head().status;
     auto const retry_after = std::string(m_attempt->parser().head().fields.value_or("Retry-After", ""));
@@ -361,7 +363,7 @@
         opening ? std::optional(return_delay(*opening, now)) : std::nullopt);
 }
 
-void GatewayRun::handle_broken(std::string const& reason, Core::MonotonicTime now)
+void RequestForwarder::handle_broken(std::string const& reason, Core::MonotonicTime now)
 {
     m_may_have_run = true;
     m_tried.insert(m_attempt->server().record().instance);
@@ -392,16 +394,16 @@
     fail(Status::s_bad_gateway, "broken", "the backend server broke off its answer");
 }
 
-Policy::Exposure GatewayRun::exposure(Core::MonotonicTime now) const
+Policy::Exposure RequestForwarder::exposure(Core::MonotonicTime now) const
 {
     auto const head_came = m_attempt->head_came();
     // An answer that is no stream begins when it ends, so that the send stands for the beginning.
     auto const begun = head_came || m_request.is_stream() ? head_came : m_attempt->begun();
-    bool const has_just_begun = begun && Core::elapsed(*begun, now) <= m_context.settings.just_begun;
+    bool const has_just_begun = begun && Core::elapsed(*begun, now) <= m_context.settings.recent_start_limit;
     return has_just_begun ? Policy::Exposure::Fresh : Policy::Exposure::Weak;
 }
 
-bool GatewayRun::may_try_again(Core::MonotonicTime now)
+bool RequestForwarder::may_try_again(Core::MonotonicTime now)
 {
     // The attempt in hand is counted when it ends.
     auto const sends = m_sends + (m_attempt ? 1 : 0);
@@ -409,7 +411,7 @@
         return false;
     // The repeats of one that crashes servers would use up what those need that died beside it.
     auto const& ledger = m_context.crashes.ledger();
-    if (!ledger.is_empty() && ledger.moments_of(m_request.digest()) >= m_context.settings.moments_without_repeats)
+    if (!ledger.is_empty() && ledger.moments_of(m_request.digest()) >= m_context.settings.max_crash_moments_for_retry)
         return false;
     if (m_context.budget_of(m_request.service).try_spend(now))
         return true;
@@ -417,7 +419,7 @@
     return false;
 }
 
-void GatewayRun::try_again(std::string_view why, Core::MonotonicTime now)
+void RequestForwarder::try_again(std::string_view why, Core::MonotonicTime now)
 {
     m_context.metrics.note_retry();
     m_context.log.write(Observe::LogEvent("retry")
@@ -429,7 +431,7 @@
     dispatch(now);
 }
 
-void GatewayRun::tick(Core::MonotonicTime now)
+void RequestForwarder::tick(Core::MonotonicTime now)
 {
     if (m_is_over)
         return;
@@ -450,22 +452,23 @@
         m_attempt->resume();
 }
 
-void GatewayRun::note_absence(Core::MonotonicTime now)
+void RequestForwarder::note_process_stall(Core::MonotonicTime now)
 {
     if (m_attempt)
         m_attempt->forgive_silence(now);
 }
 
-bool GatewayRun::is_stalled(Core::MonotonicTime now) const
+bool RequestForwarder::is_stalled(Core::MonotonicTime now) const
 {
     auto const last_input = m_attempt->last_input();
     if (Core::elapsed(last_input, now) > stall_limit())
         return true;
     auto const suspected = m_attempt->server().suspected_since();
-    return suspected && last_input < *suspected && Core::elapsed(*suspected, now) > m_context.settings.stall_suspected;
+    return suspected && last_input < *suspected
+        && Core::elapsed(*suspected, now) > m_context.settings.stall_limit_if_suspected;
 }
 
-Core::Milliseconds GatewayRun::stall_limit() const
+Core::Milliseconds RequestForwarder::stall_limit() const
 {
     auto const& settings = m_context.settings;
     auto const& request_class = *m_request.request_class;
@@ -474,13 +477,14 @@
     };
     bool const has_begun = m_attempt->head_came().has_value();
     if (m_request.is_stream() && has_begun)
-        return std::max(settings.stall_least_pause, times(request_class.token_gap_target, settings.stall_pause_factor));
+        return std::max(settings.stall_min_pause, times(request_class.token_gap_target, settings.stall_pause_factor));
     auto const factor = m_request.is_stream() ? settings.stall_first_event_factor : settings.stall_factor;
-    auto const part = m_request.is_stream() ? settings.stall_first_event_part : settings.stall_least_part;
+    auto const part
+        = m_request.is_stream() ? settings.stall_first_event_min_target_share : settings.stall_min_target_share;
     return std::max(times(m_choice.predicted_wait, factor), times(request_class.first_token_target, part));
 }
 
-void GatewayRun::replace_stalled_attempt(Core::MonotonicTime now)
+void RequestForwarder::replace_stalled_attempt(Core::MonotonicTime now)
 {
     auto const silence = Core::elapsed(m_attempt->last_input(), now);
     bool const is_silent_by_us = m_attempt->is_paused();
@@ -504,7 +508,7 @@
     try_again("the backend server is silent", now);
 }
 
-void GatewayRun::give_up(Core::MonotonicTime now)
+void RequestForwarder::give_up(Core::MonotonicTime now)
 {
     if (m_attempt && m_attempt->is_sent()) {
         m_may_have_run = true;
@@ -517,7 +521,7 @@
     fail(Status::s_gateway_timeout, "time_limit", "the request's time limit is over");
 }
 
-void GatewayRun::drop_unsent_attempt()
+void RequestForwarder::drop_unsent_attempt()
 {
     // Its connection may still come up, and must then not send what is refused by now.
     if (m_attempt)
@@ -525,7 +529,7 @@
     m_attempt.reset();
 }
 
-void GatewayRun::handle_caller_gone()
+void RequestForwarder::handle_caller_gone()
 {
     if (m_is_over)
         return;
@@ -537,7 +541,7 @@
         "caller_gone");
 }
 
-void GatewayRun::abandon()
+void RequestForwarder::abandon()
 {
     if (m_is_over)
         return;
@@ -550,7 +554,7 @@
     fail(Status::s_bad_gateway, "stopping", "this gateway stops");
 }
 
-void GatewayRun::fail(
+void RequestForwarder::fail(
     int status_if_may_have_run, std::string code, std::string message, std::optional<Core::Milliseconds> retry_after)
 {
     Entry::ErrorAnswer error;
@@ -563,13 +567,13 @@
     finish(error.outcome, error.status, error.code);
 }
 
-void GatewayRun::cut(std::string_view reason)
+void RequestForwarder::cut(std::string_view reason)
 {
     m_caller->cut();
     finish(Outcome::Cut, 0, reason);
 }
 
-void GatewayRun::finish(Outcome outcome, int status, std::string_view reason)
+void RequestForwarder::finish(Outcome outcome, int status, std::string_view reason)
 {
     if (m_is_over)
         return;
@@ -578,7 +582,7 @@
     log_end(outcome, status, reason);
 }
 
-void GatewayRun::log_end(Outcome outcome, int status, std::string_view reason)
+void RequestForwarder::log_end(Outcome outcome, int status, std::string_view reason)
 {
     auto const now = Core::monotonic_now();
     auto const total = now - m_request.received;
--- a/Libraries/LibGateway/GatewayRun.h
+++ b/Libraries/LibGateway/RequestForwarder.h
@@ -25,52 +25,52 @@
 namespace GraniteField::Gateway {
 
 /// How a gateway treats its requests.
-struct RunSettings {
+struct ForwardingSettings {
     /// A connection to a backend server that is not up by then is given up; the request goes elsewhere.
     Core::Milliseconds connect_limit {400};
     /// Connections that one request may try to open without sending anything. A connection that was never made is no
     /// send, so that the next server is free to be asked; the bound only ends a request before a fleet that is gone. It
     /// lies well above the servers in a row that a crash of a quarter of them lets one request meet.
-    unsigned most_connects {64};
+    unsigned max_connects {64};
     /// How long a request waits here while no backend server can be had, at most; never over a quarter of its target.
     Core::Milliseconds hold_limit {1'000};
     /// Bytes of an answer that is no stream, up to which it is kept until it is whole, so that it can be replaced.
-    std::size_t largest_kept_answer {1U << 20U};
+    std::size_t max_buffered_response {1U << 20U};
     /// Bytes that a caller has not taken, above which its answer is read no further.
     std::size_t caller_window {256U << 10U};
     /// Bytes that all callers' connections hold together. Beyond them answers are read no further than the small
     /// window, and are handed on as they come: many callers that read slowly must not take the memory of those that are
     /// served.
     std::size_t held_limit {64U << 20U};
-    std::size_t small_caller_window {16U << 10U};
+    std::size_t reduced_caller_window {16U << 10U};
     /// Told to callers of requests that did not run, where nothing better is known.
     Core::Milliseconds retry_after {300};
     Policy::RetryAllowance retries;
     /// A server that crashes so soon after it has begun a request may have crashed by it. A busy gateway reads some
     /// hundred milliseconds late.
-    Core::Milliseconds just_begun {1'000};
+    Core::Milliseconds recent_start_limit {1'000};
     /// A request that was at so many moments of crashes, and at no good end since, is not sent again by a gateway.
-    std::size_t moments_without_repeats {2};
+    std::size_t max_crash_moments_for_retry {2};
 
     // When a server that took a repeatable request and says nothing is given up for another one.
     /// So many times the wait that was predicted, and never before this part of the class's target is over.
     double stall_factor {3};
-    double stall_least_part {0.5};
+    double stall_min_target_share {0.5};
     /// The same for a stream's first event: a prompt that is read in vain costs more than a plain call.
     double stall_first_event_factor {6};
-    double stall_first_event_part {1};
+    double stall_first_event_min_target_share {1};
     /// At a server that is suspected to be dead: its silence since then. Whoever gets answers from it tells that within
     /// 150 ms.
-    Core::Milliseconds stall_suspected {300};
+    Core::Milliseconds stall_limit_if_suspected {300};
     /// Within a stream: so many times the class's target for a pause, and never before the least time.
     double stall_pause_factor {3};
-    Core::Milliseconds stall_least_pause {1'000};
+    Core::Milliseconds stall_min_pause {1'000};
 };
 
 /// What all runs of a gateway share.
-struct RunContext {
+struct ForwardingContext {
     boost::asio::io_context& loop;
-    RunSettings settings;
+    ForwardingSettings settings;
     Dialect dialect;
     BackendFleet& fleet;
     LoadExchange& load;
@@ -94,18 +94,18 @@
 /// A request from its arrival to its final answer: the attempts, one after the other, and what the caller has been
 /// given. It keeps what is promised: a request that is not repeatable is sent at most once, an answer that is handed
 /// on is one backend server's, and a refusal that says "not run" is true.
-class GatewayRun final : public BackendAttempt::Listener {
+class RequestForwarder final : public BackendAttempt::Listener {
 public:
-    GatewayRun(RunContext&, RoutedRequest, std::shared_ptr<CallerConnection>);
-    ~GatewayRun() override;
-    GatewayRun(GatewayRun const&) = delete;
-    GatewayRun& operator=(GatewayRun const&) = delete;
+    RequestForwarder(ForwardingContext&, RoutedRequest, std::shared_ptr<CallerConnection>);
+    ~RequestForwarder() override;
+    RequestForwarder(RequestForwarder const&) = delete;
+    RequestForwarder& operator=(RequestForwarder const&) = delete;
 
-    void begin(Core::MonotonicTime now);
+    void start(Core::MonotonicTime now);
     /// Limits in time, and held requests.
     void tick(Core::MonotonicTime now);
     /// This process was away, and servers may have spoken meanwhile.
-    void note_absence(Core::MonotonicTime now);
+    void note_process_stall(Core::MonotonicTime now);
     /// The process ends: the caller gets what can be said.
     void abandon();
 
@@ -199,7 +199,7 @@
     void finish(Entry::Outcome, int status, std::string_view reason);
     void log_end(Entry::Outcome, int status, std::string_view reason);
 
-    RunContext& m_context;
+    ForwardingContext& m_context;
     RoutedRequest m_request;
     std::shared_ptr<CallerConnection> m_caller;
     std::shared_ptr<BackendAttempt> m_attempt;
--- a/Libraries/LibGateway/GatewayRunAnswers.cpp
+++ b/Libraries/LibGateway/RequestForwarderResponses.cpp
@@ -1,5 +1,5 @@
 // The part of a run that takes answers: whose they are, what the caller gets of them, and when they are whole.
-#include <LibGateway/GatewayRun.h>
+#include <LibGateway/RequestForwarder.h>
 
 #include <LibHTTP/Status.h>
 
@@ -10,12 +10,12 @@
 using Entry::Outcome;
 namespace Status = HTTP::Status;
 
-bool GatewayRun::is_answer_to_this(HTTP::AnswerHead const& head) const
+bool RequestForwarder::is_answer_to_this(HTTP::AnswerHead const& head) const
 {
     return head.fields.value_or(m_context.dialect.request_id, m_request.id) == m_request.id;
 }
 
-void GatewayRun::handle_head(BackendAttempt& attempt)
+void RequestForwarder::handle_head(BackendAttempt& attempt)
 {
     auto const& head = attempt.parser().head();
     // 421 is sent by another server that now has the address; its statements do not concern this one.
@@ -25,7 +25,7 @@
         attempt.server(), read_signals(head, m_context.dialect), attempt.begun(), Core::monotonic_now());
 }
 
-bool GatewayRun::is_answer_sound(HTTP::AnswerHead const& head, std::string& problem) const
+bool RequestForwarder::is_answer_sound(HTTP::AnswerHead const& head, std::string& problem) const
 {
     if (!is_answer_to_this(head)) {
         problem = "the answer names another request";
@@ -40,7 +40,7 @@
     return problem.empty();
 }
 
-void GatewayRun::handle_answer(BackendAttempt& attempt)
+void RequestForwarder::handle_answer(BackendAttempt& attempt)
 {
     auto const now = Core::monotonic_now();
     auto const& head = attempt.parser().head();
@@ -63,7 +63,7 @@
     take_whole(attempt);
 }
 
-void GatewayRun::take_stream(BackendAttempt& attempt)
+void RequestForwarder::take_stream(BackendAttempt& attempt)
 {
     auto const now = Core::monotonic_now();
     auto events = m_events.add(attempt.parser().take_body());
@@ -113,27 +113,27 @@
     hold_back_reading(attempt);
 }
 
-void GatewayRun::hold_back_reading(BackendAttempt& attempt) const
+void RequestForwarder::hold_back_reading(BackendAttempt& attempt) const
 {
     if (m_context.is_short_of_memory())
-        attempt.set_read_size(m_context.settings.small_caller_window / 2);
+        attempt.set_read_size(m_context.settings.reduced_caller_window / 2);
     if (m_caller->pending_bytes() > caller_window())
         attempt.pause();
 }
 
-std::size_t GatewayRun::caller_window() const
+std::size_t RequestForwarder::caller_window() const
 {
     auto const& settings = m_context.settings;
-    return m_context.is_short_of_memory() ? settings.small_caller_window : settings.caller_window;
+    return m_context.is_short_of_memory() ? settings.reduced_caller_window : settings.caller_window;
 }
 
-void GatewayRun::take_whole(BackendAttempt& attempt)
+void RequestForwarder::take_whole(BackendAttempt& attempt)
 {
     auto const now = Core::monotonic_now();
     m_kept_answer += attempt.parser().take_body();
     if (attempt.parser().is_complete())
         return give_whole_answer(attempt);
-    auto const most_kept = m_context.is_short_of_memory() ? caller_window() : m_context.settings.largest_kept_answer;
+    auto const most_kept = m_context.is_short_of_memory() ? caller_window() : m_context.settings.max_buffered_response;
     if (m_kept_answer.size() <= most_kept && !m_has_begun_answer)
         return;
     if (!m_has_begun_answer) {
@@ -146,18 +146,18 @@
         hold_back_reading(attempt);
 }
 
-void GatewayRun::note_good_end(Core::MonotonicTime now)
+void RequestForwarder::note_good_end(Core::MonotonicTime now)
 {
     m_context.crashes.ledger().note_good_end(m_request.digest(), now);
 }
 
-bool GatewayRun::must_hide(HTTP::AnswerHead const& head) const
+bool RequestForwarder::must_hide(HTTP::AnswerHead const& head) const
 {
     // Without its mark nobody knows that the request did not run, and the status would promise it.
     return Status::promises_not_run(head.status) && !m_request.is_repeatable();
 }
 
-void GatewayRun::give_whole_answer(BackendAttempt& attempt)
+void RequestForwarder::give_whole_answer(BackendAttempt& attempt)
 {
     auto const now = Core::monotonic_now();
     auto const& head = attempt.parser().head();
@@ -186,7 +186,7 @@
     finish(Outcome::Done, head.status, "answered");
 }
 
-HTTP::FieldList GatewayRun::handed_on(HTTP::AnswerHead const& head) const
+HTTP::FieldList RequestForwarder::handed_on(HTTP::AnswerHead const& head) const
 {
     HTTP::FieldList fields;
     auto const connection = head.fields.value_or("Connection", "");
@@ -198,7 +198,7 @@
     return fields;
 }
 
-void GatewayRun::begin_answer(HTTP::AnswerHead const& head)
+void RequestForwarder::begin_answer(HTTP::AnswerHead const& head)
 {
     m_has_begun_answer = true;
     m_caller->begin(head.status, handed_on(head));
--- a/Libraries/LibSettings/DaemonSettings.cpp
+++ b/Libraries/LibSettings/DaemonSettings.cpp
@@ -115,7 +115,7 @@
 {
     ObjectReader reader(json, "/routing", findings);
     reader.read("connect-limit", server.runs.connect_limit, 10ms, 60s);
-    reader.read_number("most-connects", server.runs.most_connects, 1, 64);
+    reader.read_number("most-connects", server.runs.max_connects, 1, 64);
     reader.read("hold-limit", server.runs.hold_limit, 0ms, 60s);
     reader.read_number("held-limit-bytes", server.runs.held_limit, 1U << 20U, std::uint64_t {1} << 40U);
     reader.read("retry-after", server.runs.retry_after, 1ms, 10min);
--- a/Meta/deliberate-breaks.sh
+++ b/Meta/deliberate-breaks.sh
@@ -24,11 +24,11 @@
     '10|Libraries/LibPlatform/TableStore.cpp|s/if (base.version() == current.version())/if (true)/|ConfigurationTest|*TwoOperators*'
     '11|Libraries/LibPolicy/AdmissionQueue.h|s/work.tier > tier/work.tier > 0 * tier/|AdmissionQueueTest|*SuspendsOnly*'
     '12|Libraries/LibEntry/LinkSet.cpp|s/link->set_listed_as_leaving(is_leaving);/link->set_listed_as_leaving(is_leaving \&\& false);/|LeavingTest|*HostList*'
-    "13|Libraries/LibGateway/GatewayRun.cpp|/::drop_unsent_attempt()/,/^}/s/m_attempt->cancel();/static_cast<void>(0);/|AttemptRulesTest|*WhatWasGivenUp*"
-    "14|Libraries/LibGateway/GatewayRun.cpp|s/m_request.is_repeatable() \&\& can_go_on/can_go_on/|AttemptRulesTest|*WhatMayHaveRun*"
+    "13|Libraries/LibGateway/RequestForwarder.cpp|/::drop_unsent_attempt()/,/^}/s/m_attempt->cancel();/static_cast<void>(0);/|AttemptRulesTest|*WhatWasGivenUp*"
+    "14|Libraries/LibGateway/RequestForwarder.cpp|s/m_request.is_repeatable() \&\& can_go_on/can_go_on/|AttemptRulesTest|*WhatMayHaveRun*"
     "15|Libraries/LibHTTP/RequestParser.cpp|s/has_bare_line_feed(head)/(has_bare_line_feed(head) \&\& false)/|RequestRulesTest|*BareLineFeed*"
-    "16|Libraries/LibGateway/GatewayRunAnswers.cpp|s/if (echoed != m_call.id)/if (echoed != m_call.id \&\& false)/|AttemptRulesTest|*AnotherRequests*"
-    "17|Libraries/LibGateway/GatewayRunAnswers.cpp|s/return Status::promises_not_run(head.status) \&\& .*/return head.status < 0;/|AttemptRulesTest|*ARefusalWithoutItsMark*"
+    "16|Libraries/LibGateway/RequestForwarderResponses.cpp|s/if (echoed != m_call.id)/if (echoed != m_call.id \&\& false)/|AttemptRulesTest|*AnotherRequests*"
+    "17|Libraries/LibGateway/RequestForwarderResponses.cpp|s/return Status::promises_not_run(head.status) \&\& .*/return head.status < 0;/|AttemptRulesTest|*ARefusalWithoutItsMark*"
     "18|Libraries/LibHTTP/EventFramer.cpp|s/bool const was_given = .*/bool const was_given = false;/|AttemptRulesTest|*AStreamGoesOnElsewhere*"
     "19|Libraries/LibGateway/BackendView.h|s/return m_is_listed \&\& !m_states_leaving \&\& m_record.state == .*/return m_is_listed;/|AttemptRulesTest|*ALeavingServer*"
     "20|Libraries/LibGateway/ServerRoster.cpp|s/if (is_settling(now) \&\& !is_leaving)/if (is_settling(now) \&\& is_leaving)/|ServerRosterTest|*WaitsForWhat*"
@@ -41,16 +41,16 @@
     '27|Libraries/LibPlatform/ObjectClient.cpp|s/list_path(kind, has_names ?/list_path(kind, has_names \&\& false ?/|GatewayProcessTest|*LongList*'
     '28|Libraries/LibGateway/LoadSharing.cpp|s/m_placements_before = std::exchange(m_placements, {});/m_placements.clear();/|LoadExchangeTest|*ToldTwice*'
     '29|Libraries/LibGateway/PlacementPolicy.cpp|s/ + slot_loss(load, server.record().slots);/ + 0 * slot_loss(load, server.record().slots);/|PauseRulesTest|*EnginesSlots*'
-    '30|Libraries/LibGateway/GatewayRun.cpp|s/any_of(dialect.engine_orders, is_named)/any_of(dialect.engine_orders, [](auto const\&) { return false; })/|RequestRulesTest|*OrdersToEngines*'
-    '31|Libraries/LibGateway/GatewayRun.cpp|s/m_choice.forgo_fetch();/static_cast<void>(0);/|AttemptRulesTest|*AFetchThatFails*'
+    '30|Libraries/LibGateway/RequestForwarder.cpp|s/any_of(dialect.engine_orders, is_named)/any_of(dialect.engine_orders, [](auto const\&) { return false; })/|RequestRulesTest|*OrdersToEngines*'
+    '31|Libraries/LibGateway/RequestForwarder.cpp|s/m_choice.forgo_fetch();/static_cast<void>(0);/|AttemptRulesTest|*AFetchThatFails*'
     '32|Libraries/LibGateway/PlacementPolicy.cpp|s/? s_hopeless_wait : 0;/? 0 * s_hopeless_wait : 0;/|PauseRulesTest|*DoNotAllWait*'
     '33|Libraries/LibEntry/WatchElection.cpp|s/return now >= doubt_begins();/return now < doubt_begins() \&\& false;/|WatchersTest|*AllOfThemDie*'
     '34|Libraries/LibEntry/WatchElection.cpp|s/bool const is_behind = behind_ends_at \&\& now/bool const is_behind = behind_ends_at \&\& false \&\& now/|WatchElectionTest|*DoesNotCome*'
     '35|Libraries/LibGateway/RelayElection.cpp|s/if (has_paused(m_last_told, now))/if (has_paused(m_last_told, now) \&\& false)/|LoadSharingTest|*ReplacesADeadRelay*'
-    '37|Libraries/LibGateway/GatewayRun.h|s/most_connects {64};/most_connects {4};/|AttemptRulesTest|*AQuarterOfThemDied*'
+    '37|Libraries/LibGateway/RequestForwarder.h|s/max_connects {64};/max_connects {4};/|AttemptRulesTest|*AQuarterOfThemDied*'
     '38|Libraries/LibPolicy/FleetRetryBudget.h|s/if (earned() >= 1)/if (earned() >= 1 \&\& slice.spent == 0)/|GatewayPropertiesTest|*AWindowEarned*'
     '39|Libraries/LibGateway/SuspicionLedger.cpp|s/if (breaks.size() < s_breaks_to_suspect)/if (breaks.size() < 100 * s_breaks_to_suspect)/|LoadSharingTest|*StreamsBreakTogether*'
-    '40|Libraries/LibGateway/GatewayRun.cpp|s/return suspected \&\& last_input/return false \&\& suspected \&\& last_input/|AttemptRulesTest|*OthersFoundDead*'
+    '40|Libraries/LibGateway/RequestForwarder.cpp|s/return suspected \&\& last_input/return false \&\& suspected \&\& last_input/|AttemptRulesTest|*OthersFoundDead*'
     '41|Libraries/LibGateway/EarlyRequests.h|s/return std::min(s_longest_wait, patience/return 0 * std::min(s_longest_wait, patience/|AttemptRulesTest|*BeforeTheFirstTableWaits*'
     '36|Libraries/LibGateway/LoadSharing.cpp|s/load = without(load, found->second);/load = without(load, {});/|LoadSharingTest|*KnowsWhatAny*'
     '42|Libraries/LibCluster/UsageReporter.h|s/return is_free ? m_known/return !is_free ? m_known->seen : is_free ? m_known/|UsageReporterTest|*CutOffFromItsPeers*'
@@ -67,7 +67,7 @@
     '54|Libraries/LibPolicy/CrashLedger.h|s/s_least_places = 2;/s_least_places = 1;/|CrashLedgerTest|*HostThatCrashes*'
     '55|Libraries/LibPolicy/CrashLedger.h|s/s_telling_time {1.000}/s_telling_time {1}/|CrashSharingTest|*ThreeDatagramsInTen*'
     '56|Libraries/LibPolicy/CrashLedger.h|s/s_refresh {300}/s_refresh {100000000}/|CrashSharingTest|*WhoBeginsLater*'
-    '57|Libraries/LibGateway/GatewayRun.cpp|s/return ledger.count_quarantined() > 0/return ledger.count_quarantined() > 9999/|CrashRulesTest|*ReachesThreeMore*'
+    '57|Libraries/LibGateway/RequestForwarder.cpp|s/return ledger.count_quarantined() > 0/return ledger.count_quarantined() > 9999/|CrashRulesTest|*ReachesThreeMore*'
     '58|Libraries/LibGateway/CrashWatch.cpp|s/if (!server.takes_new_requests())/if (false)/|CrashRulesTest|*LeavesIsNoCrash*'
     '59|Libraries/LibGateway/BackendFleet.cpp|s/bool const is_reborn = view != nullptr \&\& /bool const is_reborn = view == nullptr \&\& /|BackendFleetTest|*NothingThatWasBelieved*'
     '60|Libraries/LibCore/Compression.cpp|s/compressed.resize(size);/compressed.resize(compressed.size());/|PeerExchangeTest|*ManyNewRoutes*'
@@ -80,7 +80,7 @@
     '67|Libraries/LibPolicy/ColdShares.cpp|s/return m_ranks.rank_for(server) < senders_for(rate);/return m_ranks.rank_for(server) < 10 * senders_for(rate);/|ColdSharesTest|*NoSecondHasMore*'
     '68|Libraries/LibGateway/RegionRules.cpp|s/return is_open(find(m_by_route, call.route->name)) \&\&/return/|DrainRulesTest|*ARouteIsServed*'
     '69|Libraries/LibEntry/ServerChanges.cpp|s/if (digest_of(list) != changes.digest)/if (false)/|ServerChangesTest|*AnotherList*'
-    '71|Libraries/LibGateway/GatewayRun.h|s/return held_bytes > settings.held_limit;/return false;/|SlowReadersTest|*HundredsThatReadNothing*'
+    '71|Libraries/LibGateway/RequestForwarder.h|s/return held_bytes > settings.held_limit;/return false;/|SlowReadersTest|*HundredsThatReadNothing*'
     '72|Libraries/LibGateway/CallerConnection.cpp|s/> limits.idle_time)$/> 1000 * limits.idle_time)/|SlowReadersTest|*NobodyReads*'
     '73|Libraries/LibGateway/BackendFleet.cpp|s/if (view->is_drained() \&\& !is_drained)/if (false)/|DrainRulesTest|*TakenForCold*'
     '74|Libraries/LibGateway/BackendFleet.cpp|s/next_send(server, now) > now;/server.record().instance.empty();/|SignalSharingTest|*KeepsALimit*'
@@ -91,7 +91,7 @@
     '79|Libraries/LibGateway/BackendFleet.cpp|s/if (m_leavings.find(view->id()) != nullptr)/if (false)/|LeavingRulesTest|*WhileTheServerIsNotListed*'
     '80|Libraries/LibPolicy/ServerBackoff.h|s/auto const earliest = std::max(m_until, now);/auto const earliest = now;/|BackoffRulesTest|*SendsNothingDuringABackoff*'
     '81|Libraries/LibPolicy/ServerBackoff.h|s/ !m_probe_sent)$/ true)/|BackoffRulesTest|*ProbesWithOneRequest*'
-    '82|Libraries/LibGateway/GatewayRun.cpp|s/? AttemptResult::Rejected : AttemptResult::Failure;/? AttemptResult::Failure : AttemptResult::Failure;/|BackoffRulesTest|*DoesNotCountABackoff*'
+    '82|Libraries/LibGateway/RequestForwarder.cpp|s/? AttemptResult::Rejected : AttemptResult::Failure;/? AttemptResult::Failure : AttemptResult::Failure;/|BackoffRulesTest|*DoesNotCountABackoff*'
     '83|Libraries/LibGateway/GatewayServer.cpp|s/std::ranges::stable_sort(waiting, .*/static_cast<void>(waiting);/|BackoffRulesTest|*MostUrgentWaiting*'
     '84|Libraries/LibPolicy/LimitShares.cpp|s/if (!m_ranks.is_known())/if (false)/|RateLimitRulesTest|*BeforeTheMembershipIsKnown*'
     '85|Libraries/LibGateway/CallerConnection.cpp|s/    m_output.erase(0, m_written);/    return;/|CallerConnectionTest|*NeverCatchesUp*'
--- a/Tests/LibGateway/AttemptRulesTest.cpp
+++ b/Tests/LibGateway/AttemptRulesTest.cpp
@@ -351,7 +351,7 @@
         {{Core::concat("127.0.0.1:", relay.local_endpoint().port()), "here", 500, 2}}});
     m_settings.load_address = *Core::Address::from_string("127.0.0.1:0");
     // Silence alone would never end it.
-    m_settings.runs.stall_least_part = 100;
+    m_settings.runs.stall_min_target_share = 100;
     std::atomic<int> seen {0};
     auto const script = [&seen](auto& connection, auto const& text, auto) {
         if (seen++ > 0)
--- a/Tests/LibGateway/SlowReadersTest.cpp
+++ b/Tests/LibGateway/SlowReadersTest.cpp
@@ -95,7 +95,7 @@
     auto const body = std::string(8U << 20U, 'x');
     add_backend("i-1",
         [&body](auto& connection, auto const& request, auto) { connection.write(answer_to(request, 200, body)); });
-    m_settings.runs.largest_kept_answer = 16U << 20U;
+    m_settings.runs.max_buffered_response = 16U << 20U;
     m_settings.runs.held_limit = 64U << 20U;
     start();
     auto const slow = call(request("GET", "/file/"));
