--- a/Libraries/LibGateway/BackendAttempt.cpp
+++ b/Libraries/LibGateway/BackendAttempt.cpp
@@ -11,24 +11,24 @@
 namespace {
 
 /// Sent bytes that are not acknowledged for this long end the connection: a host without power says nothing.
-constexpr Core::Milliseconds s_unacknowledged_limit {3'000};
+constexpr Core::Milliseconds s_unacknowledged_timeout {3'000};
 /// A host without power is noticed by probes as well, where nothing is being sent: the first after this many seconds
 /// of silence, then one a second, and after two without an answer the connection ends.
 constexpr int s_seconds_to_first_probe = 1;
 constexpr int s_seconds_between_probes = 1;
-constexpr int s_most_lost_probes = 2;
+constexpr int s_max_lost_probes = 2;
 
 template <int name>
 using TcpOption = boost::asio::detail::socket_option::integer<IPPROTO_TCP, name>;
 
-void watch_for_dead_hosts(boost::asio::ip::tcp::socket& socket)
+void enable_dead_host_detection(boost::asio::ip::tcp::socket& socket)
 {
     boost::system::error_code ignored;
-    socket.set_option(TcpOption<TCP_USER_TIMEOUT>(static_cast<int>(s_unacknowledged_limit.count())), ignored);
+    socket.set_option(TcpOption<TCP_USER_TIMEOUT>(static_cast<int>(s_unacknowledged_timeout.count())), ignored);
     socket.set_option(boost::asio::socket_base::keep_alive(true), ignored);
     socket.set_option(TcpOption<TCP_KEEPIDLE>(s_seconds_to_first_probe), ignored);
     socket.set_option(TcpOption<TCP_KEEPINTVL>(s_seconds_between_probes), ignored);
-    socket.set_option(TcpOption<TCP_KEEPCNT>(s_most_lost_probes), ignored);
+    socket.set_option(TcpOption<TCP_KEEPCNT>(s_max_lost_probes), ignored);
 }
 
 }
@@ -47,18 +47,18 @@
     m_server->end_attempt(m_load);
 }
 
-void BackendAttempt::begin(std::string request, Core::MonotonicTime now)
+void BackendAttempt::start(std::string request, Core::MonotonicTime now)
 {
     m_request = std::move(request);
-    m_begun = now;
-    m_last_input = now;
+    m_started_at = now;
+    m_last_received_at = now;
     auto const& address = m_server->record().address;
     boost::asio::ip::tcp::endpoint const endpoint(boost::asio::ip::make_address(address.host()), address.port());
     Error error;
     m_socket.open(endpoint.protocol(), error);
     m_socket.non_blocking(true, error);
     m_socket.set_option(boost::asio::ip::tcp::no_delay(true), error);
-    watch_for_dead_hosts(m_socket);
+    enable_dead_host_detection(m_socket);
     m_socket.async_connect(endpoint, [self = shared_from_this()](Error connect_error) {
         if (!self->m_is_over)
             self->handle_connected(connect_error);
@@ -131,11 +131,11 @@
     m_socket.async_wait(boost::asio::ip::tcp::socket::wait_read, [self = shared_from_this()](Error error) {
         self->m_is_reading = false;
         if (!error && !self->m_is_over)
-            self->take_input();
+            self->receive();
     });
 }
 
-void BackendAttempt::take_input()
+void BackendAttempt::receive()
 {
     static thread_local std::array<char, s_read_size> s_buffer;
     Error error;
@@ -148,21 +148,21 @@
         m_parser.add_end();
         if (!m_parser.is_complete())
             return fail(Failure::Broken, "the connection was closed before the answer was whole");
-        return m_listener->handle_answer(*this);
+        return m_listener->handle_response(*this);
     }
     if (error)
         return fail(Failure::Broken, error.message());
-    m_last_input = Core::monotonic_now();
+    m_last_received_at = Core::monotonic_now();
     m_input.append(s_buffer.data(), count);
     m_input.erase(0, m_parser.add(m_input));
     if (m_parser.is_broken())
         return fail(Failure::Broken, "what came is no HTTP answer");
-    if (m_parser.has_head() && !m_head_came) {
-        m_head_came = m_last_input;
-        m_listener->handle_head(*this);
+    if (m_parser.has_head() && !m_head_received_at) {
+        m_head_received_at = m_last_received_at;
+        m_listener->handle_response_head(*this);
     }
     if (m_parser.has_head())
-        m_listener->handle_answer(*this);
+        m_listener->handle_response(*this);
     if (!m_is_over)
         read();
 }
--- a/Libraries/LibGateway/BackendAttempt.h
+++ b/Libraries/LibGateway/BackendAttempt.h
@@ -29,10 +29,10 @@
     class Listener {
     public:
         virtual ~Listener() = default;
-        /// The answer's head has come; once, before handle_answer().
-        virtual void handle_head(BackendAttempt&) = 0;
+        /// The answer's head has come; once, before handle_response().
+        virtual void handle_response_head(BackendAttempt&) = 0;
         /// The answer's head, or more of its body, has come.
-        virtual void handle_answer(BackendAttempt&) = 0;
+        virtual void handle_response(BackendAttempt&) = 0;
         virtual void handle_failure(BackendAttempt&, Failure, std::string const& reason) = 0;
     };
 
@@ -45,7 +45,7 @@
     BackendAttempt& operator=(BackendAttempt const&) = delete;
 
     /// Connects, and sends the request when the connection is up.
-    void begin(std::string request, Core::MonotonicTime now);
+    void start(std::string request, Core::MonotonicTime now);
     /// Closes the connection; the listener hears nothing more.
     void cancel();
 
@@ -54,13 +54,13 @@
     [[nodiscard]] ServerLoad& load() { return m_load; }
     /// Whether any byte of the request has left; from then on it may have run.
     [[nodiscard]] bool is_sent() const { return m_written > 0; }
-    [[nodiscard]] Core::MonotonicTime begun() const { return m_begun; }
+    [[nodiscard]] Core::MonotonicTime started_at() const { return m_started_at; }
     /// When something last came from the server; the beginning before that.
-    [[nodiscard]] Core::MonotonicTime last_input() const { return m_last_input; }
+    [[nodiscard]] Core::MonotonicTime last_received_at() const { return m_last_received_at; }
     /// When the answer's head came; nothing before.
-    [[nodiscard]] std::optional<Core::MonotonicTime> head_came() const { return m_head_came; }
+    [[nodiscard]] std::optional<Core::MonotonicTime> head_received_at() const { return m_head_received_at; }
     /// This process was away: the server's silence is counted from now on.
-    void forgive_silence(Core::MonotonicTime now) { m_last_input = now; }
+    void restart_silence_timer(Core::MonotonicTime now) { m_last_received_at = now; }
     [[nodiscard]] bool is_over() const { return m_is_over; }
 
     /// Reads no more than this at once from now on.
@@ -76,7 +76,7 @@
     void handle_connected(Error const&);
     void write();
     void read();
-    void take_input();
+    void receive();
     void fail(Failure, std::string const& reason);
 
     boost::asio::ip::tcp::socket m_socket;
@@ -87,9 +87,9 @@
     std::size_t m_written {0};
     std::string m_input;
     ServerLoad m_load;
-    Core::MonotonicTime m_begun;
-    Core::MonotonicTime m_last_input;
-    std::optional<Core::MonotonicTime> m_head_came;
+    Core::MonotonicTime m_started_at;
+    Core::MonotonicTime m_last_received_at;
+    std::optional<Core::MonotonicTime> m_head_received_at;
     bool m_is_over {false};
     bool m_is_paused {false};
     std::size_t m_read_size {s_read_size};
--- a/Libraries/LibGateway/RequestForwarder.cpp
+++ b/Libraries/LibGateway/RequestForwarder.cpp
@@ -94,8 +94,8 @@
 
 bool RequestForwarder::has_run_for_long(Core::MonotonicTime now) const
 {
-    auto const head_came = m_attempt->head_came();
-    return head_came && Core::elapsed(*head_came, now) > m_context.settings.recent_start_limit;
+    auto const head_received_at = m_attempt->head_received_at();
+    return head_received_at && Core::elapsed(*head_received_at, now) > m_context.settings.recent_start_limit;
 }
 
 void RequestForwarder::recall()
@@ -213,7 +213,7 @@
     m_context.fleet.note_sent(*m_choice.server, now);
     m_choice.server->prefixes().note_read(m_request.prompt);
     m_context.load.note_placement(*m_choice.server, shared_parts(m_request), own_tokens(m_request));
-    m_attempt->begin(request_for(*m_choice.server, now), now);
+    m_attempt->start(request_for(*m_choice.server, now), now);
     m_context.log.write(Observe::LogEvent("dispatch")
                             .add("request", m_request.id)
                             .add("server", m_choice.server->record().instance)
@@ -294,7 +294,7 @@
     case AttemptResult::Success:
         if (server.note_success(now))
             m_context.load.note_answering(server);
-        server.note_latency(now - attempt->begun());
+        server.note_latency(now - attempt->started_at());
         break;
     case AttemptResult::Failure:
         server.note_failure(now);
@@ -318,7 +318,7 @@
 void RequestForwarder::note_unanswered()
 {
     if (m_attempt && m_attempt->is_sent() && !m_request.is_stream())
-        note_running(m_attempt->begun());
+        note_running(m_attempt->started_at());
 }
 
 void RequestForwarder::handle_failure(
@@ -367,23 +367,24 @@
 {
     m_may_have_run = true;
     m_tried.insert(m_attempt->server().record().instance);
-    auto const head_came = m_attempt->head_came();
-    auto const sent = m_attempt->begun();
+    auto const head_received_at = m_attempt->head_received_at();
+    auto const sent = m_attempt->started_at();
     note_unanswered();
     m_context.crashes.note_break(m_attempt->server(), m_request.digest(), exposure(now), now);
     if (m_context.usage != nullptr && m_request.is_stream() && !*m_is_counted && !m_request.workspace.empty())
         m_context.unseen_runs.add(m_choice.server, m_request.workspace, m_is_counted, now);
     end_attempt(AttemptResult::Failure, now);
     m_kept_answer.clear();
-    m_context.log.write(Observe::LogEvent("broken")
-                            .add("request", m_request.id)
-                            .add("server", m_choice.server->record().instance)
-                            .add("digest", m_request.digest().to_string())
-                            .add("send", m_sends)
-                            .add("has_begun", m_has_begun_answer)
-                            .add("sent_ms_ago", Core::elapsed(sent, now))
-                            .add("head_ms_ago", head_came ? Core::elapsed(*head_came, now) : Core::Milliseconds(-1))
-                            .add("reason", reason));
+    m_context.log.write(
+        Observe::LogEvent("broken")
+            .add("request", m_request.id)
+            .add("server", m_choice.server->record().instance)
+            .add("digest", m_request.digest().to_string())
+            .add("send", m_sends)
+            .add("has_begun", m_has_begun_answer)
+            .add("sent_ms_ago", Core::elapsed(sent, now))
+            .add("head_ms_ago", head_received_at ? Core::elapsed(*head_received_at, now) : Core::Milliseconds(-1))
+            .add("reason", reason));
     bool const can_go_on = !m_has_begun_answer || (m_request.is_stream() && (m_events.last_id() || !m_first_event));
     if (m_request.is_repeatable() && can_go_on && may_try_again(now)) {
         m_events.drop_partial_event();
@@ -396,9 +397,9 @@
 
 Policy::Exposure RequestForwarder::exposure(Core::MonotonicTime now) const
 {
-    auto const head_came = m_attempt->head_came();
+    auto const head_received_at = m_attempt->head_received_at();
     // An answer that is no stream begins when it ends, so that the send stands for the beginning.
-    auto const begun = head_came || m_request.is_stream() ? head_came : m_attempt->begun();
+    auto const begun = head_received_at || m_request.is_stream() ? head_received_at : m_attempt->started_at();
     bool const has_just_begun = begun && Core::elapsed(*begun, now) <= m_context.settings.recent_start_limit;
     return has_just_begun ? Policy::Exposure::Fresh : Policy::Exposure::Weak;
 }
@@ -441,7 +442,7 @@
         return dispatch(now);
     if (is_quarantined(now) && !has_run_for_long(now))
         return recall();
-    if (!m_attempt->is_sent() && Core::elapsed(m_attempt->begun(), now) > m_context.settings.connect_limit) {
+    if (!m_attempt->is_sent() && Core::elapsed(m_attempt->started_at(), now) > m_context.settings.connect_limit) {
         auto const attempt = m_attempt;
         attempt->cancel();
         return handle_failure(*attempt, BackendAttempt::Failure::NotSent, "the connection did not come up in time");
@@ -455,16 +456,16 @@
 void RequestForwarder::note_process_stall(Core::MonotonicTime now)
 {
     if (m_attempt)
-        m_attempt->forgive_silence(now);
+        m_attempt->restart_silence_timer(now);
 }
 
 bool RequestForwarder::is_stalled(Core::MonotonicTime now) const
 {
-    auto const last_input = m_attempt->last_input();
-    if (Core::elapsed(last_input, now) > stall_limit())
+    auto const last_received_at = m_attempt->last_received_at();
+    if (Core::elapsed(last_received_at, now) > stall_limit())
         return true;
     auto const suspected = m_attempt->server().suspected_since();
-    return suspected && last_input < *suspected
+    return suspected && last_received_at < *suspected
         && Core::elapsed(*suspected, now) > m_context.settings.stall_limit_if_suspected;
 }
 
@@ -475,7 +476,7 @@
     auto const times = [](Core::Milliseconds duration, double factor) {
         return std::chrono::duration_cast<Core::Milliseconds>(duration * factor);
     };
-    bool const has_begun = m_attempt->head_came().has_value();
+    bool const has_begun = m_attempt->head_received_at().has_value();
     if (m_request.is_stream() && has_begun)
         return std::max(settings.stall_min_pause, times(request_class.token_gap_target, settings.stall_pause_factor));
     auto const factor = m_request.is_stream() ? settings.stall_first_event_factor : settings.stall_factor;
@@ -486,7 +487,7 @@
 
 void RequestForwarder::replace_stalled_attempt(Core::MonotonicTime now)
 {
-    auto const silence = Core::elapsed(m_attempt->last_input(), now);
+    auto const silence = Core::elapsed(m_attempt->last_received_at(), now);
     bool const is_silent_by_us = m_attempt->is_paused();
     auto const server = m_attempt->server().record().instance;
     auto without_it = excluded();
--- a/Libraries/LibGateway/RequestForwarder.h
+++ b/Libraries/LibGateway/RequestForwarder.h
@@ -116,8 +116,8 @@
     [[nodiscard]] RoutedRequest const& request() const { return m_request; }
 
 private:
-    void handle_head(BackendAttempt&) override;
-    void handle_answer(BackendAttempt&) override;
+    void handle_response_head(BackendAttempt&) override;
+    void handle_response(BackendAttempt&) override;
     void handle_failure(BackendAttempt&, BackendAttempt::Failure, std::string const& reason) override;
 
     void dispatch(Core::MonotonicTime now);
--- a/Libraries/LibGateway/RequestForwarderResponses.cpp
+++ b/Libraries/LibGateway/RequestForwarderResponses.cpp
@@ -15,14 +15,14 @@
     return head.fields.value_or(m_context.dialect.request_id, m_request.id) == m_request.id;
 }
 
-void RequestForwarder::handle_head(BackendAttempt& attempt)
+void RequestForwarder::handle_response_head(BackendAttempt& attempt)
 {
     auto const& head = attempt.parser().head();
     // 421 is sent by another server that now has the address; its statements do not concern this one.
     if (head.status == Status::s_misdirected || !is_answer_to_this(head))
         return;
     m_context.fleet.note_signals(
-        attempt.server(), read_signals(head, m_context.dialect), attempt.begun(), Core::monotonic_now());
+        attempt.server(), read_signals(head, m_context.dialect), attempt.started_at(), Core::monotonic_now());
 }
 
 bool RequestForwarder::is_answer_sound(HTTP::AnswerHead const& head, std::string& problem) const
@@ -40,7 +40,7 @@
     return problem.empty();
 }
 
-void RequestForwarder::handle_answer(BackendAttempt& attempt)
+void RequestForwarder::handle_response(BackendAttempt& attempt)
 {
     auto const now = Core::monotonic_now();
     auto const& head = attempt.parser().head();
@@ -76,7 +76,7 @@
         if (!m_first_event) {
             m_first_event = now;
             m_context.admission.note_wait(
-                m_request.service, m_request.request_class->name, m_choice.predicted_wait, now - attempt.begun());
+                m_request.service, m_request.request_class->name, m_choice.predicted_wait, now - attempt.started_at());
             m_context.metrics.note_first_byte(
                 tier, std::chrono::duration_cast<Core::Microseconds>(now - m_request.received));
         }
@@ -90,7 +90,7 @@
         note_running(now);
         if (attempt.load().unread_tokens > 0) {
             m_context.fleet.note_first_event(
-                m_request.service, attempt.load().unread_tokens, Core::elapsed(attempt.begun(), now));
+                m_request.service, attempt.load().unread_tokens, Core::elapsed(attempt.started_at(), now));
             attempt.server().note_read(attempt.load());
         }
         auto const untaken = m_caller->pending_bytes();
@@ -162,7 +162,7 @@
     auto const now = Core::monotonic_now();
     auto const& head = attempt.parser().head();
     bool const is_server_error = head.status >= Status::s_first_server_error;
-    note_running(m_request.is_stream() ? now : attempt.begun());
+    note_running(m_request.is_stream() ? now : attempt.started_at());
     note_good_end(now);
     if (is_server_error && m_request.is_repeatable() && !m_has_begun_answer && may_try_again(now)) {
         m_tried.insert(attempt.server().record().instance);
--- a/Meta/deliberate-breaks.sh
+++ b/Meta/deliberate-breaks.sh
@@ -50,7 +50,7 @@
     '37|Libraries/LibGateway/RequestForwarder.h|s/max_connects {64};/max_connects {4};/|AttemptRulesTest|*AQuarterOfThemDied*'
     '38|Libraries/LibPolicy/FleetRetryBudget.h|s/if (earned() >= 1)/if (earned() >= 1 \&\& slice.spent == 0)/|GatewayPropertiesTest|*AWindowEarned*'
     '39|Libraries/LibGateway/SuspicionLedger.cpp|s/if (breaks.size() < s_breaks_to_suspect)/if (breaks.size() < 100 * s_breaks_to_suspect)/|LoadSharingTest|*StreamsBreakTogether*'
-    '40|Libraries/LibGateway/RequestForwarder.cpp|s/return suspected \&\& last_input/return false \&\& suspected \&\& last_input/|AttemptRulesTest|*OthersFoundDead*'
+    '40|Libraries/LibGateway/RequestForwarder.cpp|s/return suspected \&\& last_received_at/return false \&\& suspected \&\& last_received_at/|AttemptRulesTest|*OthersFoundDead*'
     '41|Libraries/LibGateway/EarlyRequests.h|s/return std::min(s_longest_wait, patience/return 0 * std::min(s_longest_wait, patience/|AttemptRulesTest|*BeforeTheFirstTableWaits*'
     '36|Libraries/LibGateway/LoadSharing.cpp|s/load = without(load, found->second);/load = without(load, {});/|LoadSharingTest|*KnowsWhatAny*'
     '42|Libraries/LibCluster/UsageReporter.h|s/return is_free ? m_known/return !is_free ? m_known->seen : is_free ? m_known/|UsageReporterTest|*CutOffFromItsPeers*'
