--- a/Libraries/LibGateway/CallerConnection.cpp
+++ b/Libraries/LibGateway/CallerConnection.cpp
@@ -14,16 +14,16 @@
 namespace {
 
 /// Bytes behind the request in hand that are kept; beyond them nothing is read until it is answered.
-constexpr std::size_t s_most_waiting_input = 64U << 10U;
+constexpr std::size_t s_max_buffered_input = 64U << 10U;
 constexpr std::size_t s_read_size = 64U << 10U;
 /// What the caller has taken is given up in pieces of this size: moving what is left costs time, and a caller that is
 /// always a little behind would else have its whole answer gathered here.
-constexpr std::size_t s_largest_taken = 64U << 10U;
+constexpr std::size_t s_min_dropped_bytes = 64U << 10U;
 /// How long a closing connection waits for the caller to close its side, so that what was written is not lost to a
 /// reset.
-constexpr Core::Milliseconds s_closing_time {1'000};
+constexpr Core::Milliseconds s_closing_timeout {1'000};
 
-std::string_view reason_of(int status)
+std::string_view reason_phrase(int status)
 {
     auto const text = boost::beast::http::obsolete_reason(static_cast<boost::beast::http::status>(status));
     return {text.data(), text.size()};
@@ -40,7 +40,7 @@
 CallerConnection::CallerConnection(boost::asio::ip::tcp::socket socket, Handler& handler)
     : m_socket(std::move(socket))
     , m_handler(handler)
-    , m_last_byte(Core::monotonic_now())
+    , m_last_activity(Core::monotonic_now())
 {
 }
 
@@ -54,18 +54,18 @@
 
 void CallerConnection::read()
 {
-    if (m_is_closed || m_is_reading || m_input.size() >= s_most_waiting_input)
+    if (m_is_closed || m_is_reading || m_input.size() >= s_max_buffered_input)
         return;
     m_is_reading = true;
     m_socket.async_wait(boost::asio::ip::tcp::socket::wait_read, [self = shared_from_this()](Error error) {
         self->m_is_reading = false;
         if (error || self->m_is_closed)
             return;
-        self->take_input();
+        self->receive();
     });
 }
 
-void CallerConnection::take_input()
+void CallerConnection::receive()
 {
     static thread_local std::array<char, s_read_size> s_buffer;
     Error error;
@@ -74,9 +74,9 @@
         return read();
     if (error || count == 0) {
         // A caller that has closed its side is taken as gone, also where it could still read.
-        if (m_state == State::Answering && m_on_gone) {
-            auto const on_gone = std::exchange(m_on_gone, nullptr);
-            on_gone();
+        if (m_state == State::Responding && m_on_disconnect) {
+            auto const on_disconnect = std::exchange(m_on_disconnect, nullptr);
+            on_disconnect();
         }
         if (m_state != State::Finishing || error != boost::asio::error::eof)
             close();
@@ -84,10 +84,10 @@
     }
     if (m_state == State::Closing)
         return read();
-    m_last_byte = Core::monotonic_now();
-    if (!m_has_begun && m_state == State::Reading) {
-        m_has_begun = true;
-        m_begun = m_last_byte;
+    m_last_activity = Core::monotonic_now();
+    if (!m_has_request_started && m_state == State::Reading) {
+        m_has_request_started = true;
+        m_request_started_at = m_last_activity;
     }
     m_input.append(s_buffer.data(), count);
     process_input();
@@ -104,25 +104,25 @@
     if (m_parser->problem() != HTTP::RequestProblem::None)
         return refuse(m_parser->problem());
     if (!m_parser->is_complete())
-        return invite_body();
+        return send_continue();
     auto head = std::move(m_parser->head());
     auto body = std::move(m_parser->body());
     m_parser.reset();
-    m_has_invited_body = false;
-    m_state = State::Answering;
+    m_has_sent_continue = false;
+    m_state = State::Responding;
     m_is_head_request = head.method == "HEAD";
     m_caller_keeps_open = head.keeps_connection();
     m_minor_version = head.minor_version;
-    auto const received = m_begun;
-    m_has_begun = false;
+    auto const received = m_request_started_at;
+    m_has_request_started = false;
     m_handler.handle_request(shared_from_this(), std::move(head), std::move(body), received);
 }
 
-void CallerConnection::invite_body()
+void CallerConnection::send_continue()
 {
-    if (m_has_invited_body || !m_parser->has_head())
+    if (m_has_sent_continue || !m_parser->has_head())
         return;
-    m_has_invited_body = true;
+    m_has_sent_continue = true;
     if (!HTTP::has_token(m_parser->head().fields.value_or("Expect", ""), "100-continue"))
         return;
     m_output += "HTTP/1.1 100 Continue\r\n\r\n";
@@ -132,22 +132,22 @@
 void CallerConnection::refuse(HTTP::RequestProblem problem)
 {
     m_handler.note_bad_request(problem);
-    m_state = State::Answering;
+    m_state = State::Responding;
     m_caller_keeps_open = false;
     m_input.clear();
-    answer(HTTP::status_of(problem), {}, "");
+    send_response(HTTP::status_of(problem), {}, "");
 }
 
-bool CallerConnection::keeps_open() const
+bool CallerConnection::keeps_connection_open() const
 {
     return m_caller_keeps_open && !m_handler.is_draining();
 }
 
-void CallerConnection::begin_head(int status, HTTP::FieldList const& fields)
+void CallerConnection::append_head(int status, HTTP::FieldList const& fields)
 {
     // One that may be closed is told so before, never after.
-    m_caller_keeps_open = keeps_open();
-    Core::append(&m_output, "HTTP/1.1 ", status, " ", reason_of(status), "\r\n");
+    m_caller_keeps_open = keeps_connection_open();
+    Core::append(&m_output, "HTTP/1.1 ", status, " ", reason_phrase(status), "\r\n");
     for (auto const& field : fields.all())
         Core::append(&m_output, field.name, ": ", field.value, "\r\n");
     if (!m_caller_keeps_open)
@@ -156,12 +156,12 @@
         m_output += "Connection: keep-alive\r\n";
 }
 
-void CallerConnection::answer(int status, HTTP::FieldList const& fields, std::string_view body)
+void CallerConnection::send_response(int status, HTTP::FieldList const& fields, std::string_view body)
 {
     if (m_is_closed)
         return;
-    m_on_gone = nullptr;
-    begin_head(status, fields);
+    m_on_disconnect = nullptr;
+    append_head(status, fields);
     if (!has_no_body(status))
         Core::append(&m_output, "Content-Length: ", body.size(), "\r\n");
     m_output += "\r\n";
@@ -171,14 +171,14 @@
     write();
 }
 
-void CallerConnection::begin(int status, HTTP::FieldList const& fields)
+void CallerConnection::start_response(int status, HTTP::FieldList const& fields)
 {
     if (m_is_closed)
         return;
     m_is_chunked = m_minor_version > 0;
     if (!m_is_chunked)
         m_caller_keeps_open = false;
-    begin_head(status, fields);
+    append_head(status, fields);
     if (m_is_chunked)
         m_output += "Transfer-Encoding: chunked\r\n";
     m_output += "\r\n";
@@ -197,22 +197,22 @@
     write();
 }
 
-void CallerConnection::finish()
+void CallerConnection::finish_response()
 {
     if (m_is_closed)
         return;
-    m_on_gone = nullptr;
+    m_on_disconnect = nullptr;
     if (m_is_chunked)
         m_output += "0\r\n\r\n";
     m_state = State::Finishing;
     write();
 }
 
-void CallerConnection::cut()
+void CallerConnection::abort_response()
 {
     if (m_is_closed)
         return;
-    m_on_gone = nullptr;
+    m_on_disconnect = nullptr;
     // A reset, so that a caller without chunks can't take the end for a whole answer either.
     if (!m_is_chunked) {
         Error ignored;
@@ -231,28 +231,28 @@
         auto const written = m_socket.write_some(rest, error);
         m_written += written;
         if (written > 0)
-            m_last_taken = Core::monotonic_now();
+            m_last_write = Core::monotonic_now();
         if (error == boost::asio::error::would_block) {
             drop_written();
             return wait_to_write();
         }
         if (error) {
-            if (m_on_gone)
-                std::exchange(m_on_gone, nullptr)();
+            if (m_on_disconnect)
+                std::exchange(m_on_disconnect, nullptr)();
             return close();
         }
     }
     m_output.clear();
     m_written = 0;
-    if (m_output.capacity() > s_largest_taken)
+    if (m_output.capacity() > s_min_dropped_bytes)
         m_output.shrink_to_fit();
     if (m_state == State::Finishing)
-        finish_writing();
+        handle_response_written();
 }
 
 void CallerConnection::drop_written()
 {
-    if (m_written < s_largest_taken)
+    if (m_written < s_min_dropped_bytes)
         return;
     m_output.erase(0, m_written);
     m_written = 0;
@@ -268,17 +268,17 @@
     });
 }
 
-void CallerConnection::finish_writing()
+void CallerConnection::handle_response_written()
 {
     m_is_chunked = false;
-    m_last_byte = Core::monotonic_now();
+    m_last_activity = Core::monotonic_now();
     if (!m_caller_keeps_open)
-        return begin_closing();
+        return start_closing();
     m_state = State::Reading;
     if (m_input.empty())
         return read();
-    m_has_begun = true;
-    m_begun = m_last_byte;
+    m_has_request_started = true;
+    m_request_started_at = m_last_activity;
     // Through the loop, so that a caller with many requests in one packet does not deepen the stack.
     boost::asio::post(m_socket.get_executor(), [self = shared_from_this()] {
         self->process_input();
@@ -286,7 +286,7 @@
     });
 }
 
-void CallerConnection::begin_closing()
+void CallerConnection::start_closing()
 {
     m_state = State::Closing;
     Error ignored;
@@ -307,7 +307,7 @@
 void CallerConnection::close_if_idle()
 {
     if (!is_busy())
-        begin_closing();
+        start_closing();
 }
 
 void CallerConnection::tick(Core::MonotonicTime now)
@@ -317,31 +317,31 @@
     auto const& limits = m_handler.limits();
     switch (m_state) {
     case State::Closing:
-        if (Core::elapsed(m_last_byte, now) > s_closing_time)
+        if (Core::elapsed(m_last_activity, now) > s_closing_timeout)
             close();
         return;
     case State::Finishing:
         // Nobody else ends it: its request is over.
-        if (Core::elapsed(std::max(m_last_byte, m_last_taken), now) > limits.idle_time)
-            cut();
+        if (Core::elapsed(std::max(m_last_activity, m_last_write), now) > limits.idle_timeout)
+            abort_response();
         return;
-    case State::Answering:
+    case State::Responding:
         return;
     case State::Reading:
         break;
     }
-    bool const is_reading_head = m_has_begun && (!m_parser || !m_parser->has_head());
-    if (is_reading_head && Core::elapsed(m_begun, now) > limits.head_time) {
-        m_state = State::Answering;
+    bool const is_reading_head = m_has_request_started && (!m_parser || !m_parser->has_head());
+    if (is_reading_head && Core::elapsed(m_request_started_at, now) > limits.head_timeout) {
+        m_state = State::Responding;
         m_caller_keeps_open = false;
-        return answer(408, {}, "");
+        return send_response(408, {}, "");
     }
-    if (Core::elapsed(m_last_byte, now) > limits.idle_time) {
-        if (!m_has_begun)
-            return begin_closing();
-        m_state = State::Answering;
+    if (Core::elapsed(m_last_activity, now) > limits.idle_timeout) {
+        if (!m_has_request_started)
+            return start_closing();
+        m_state = State::Responding;
         m_caller_keeps_open = false;
-        answer(408, {}, "");
+        send_response(408, {}, "");
     }
 }
 
--- a/Libraries/LibGateway/CallerConnection.h
+++ b/Libraries/LibGateway/CallerConnection.h
@@ -23,9 +23,9 @@
     struct Limits {
         HTTP::RequestParser::Limits request;
         /// From the first byte of a request to the end of its head.
-        Core::Milliseconds head_time {3'000};
+        Core::Milliseconds head_timeout {3'000};
         /// Without a byte, between requests or within a body, or while an answer's end waits for the caller to read.
-        Core::Milliseconds idle_time {15'000};
+        Core::Milliseconds idle_timeout {15'000};
     };
 
     /// Takes whole requests.
@@ -51,23 +51,26 @@
     void tick(Core::MonotonicTime now);
     [[nodiscard]] bool is_closed() const { return m_is_closed; }
     /// Whether a request is read or answered.
-    [[nodiscard]] bool is_busy() const { return m_state != State::Reading || !m_input.empty() || m_has_begun; }
+    [[nodiscard]] bool is_busy() const
+    {
+        return m_state != State::Reading || !m_input.empty() || m_has_request_started;
+    }
     /// Closes a connection that waits for its next request.
     void close_if_idle();
 
     // For whoever answers the request.
 
     /// Called when the caller has closed the connection before its answer was whole.
-    void set_on_gone(std::function<void()> callback) { m_on_gone = std::move(callback); }
+    void set_on_disconnect(std::function<void()> callback) { m_on_disconnect = std::move(callback); }
     /// Gives the whole answer.
-    void answer(int status, HTTP::FieldList const& fields, std::string_view body);
+    void send_response(int status, HTTP::FieldList const& fields, std::string_view body);
     /// Begins an answer of which more follows.
-    void begin(int status, HTTP::FieldList const& fields);
+    void start_response(int status, HTTP::FieldList const& fields);
     void append(std::string_view);
     /// The answer is whole.
-    void finish();
+    void finish_response();
     /// The answer ends here though it is not whole: the connection is closed without the mark of its end.
-    void cut();
+    void abort_response();
     /// Bytes that the caller has not taken yet.
     [[nodiscard]] std::size_t pending_bytes() const { return m_output.size() - m_written; }
     /// Memory that the connection takes for what has come and what is to go.
@@ -76,7 +79,7 @@
 private:
     enum class State {
         Reading,
-        Answering,
+        Responding,
         /// The answer is whole and is being written.
         Finishing,
         /// All is written; the caller closes, or time passes.
@@ -86,20 +89,20 @@
     using Error = boost::system::error_code;
 
     void read();
-    void take_input();
+    void receive();
     void process_input();
     /// Lets a caller that asked first send its body (RFC 9110, section 10.1.1).
-    void invite_body();
+    void send_continue();
     void refuse(HTTP::RequestProblem);
     void write();
     void wait_to_write();
-    void finish_writing();
+    void handle_response_written();
     /// Gives up what the caller has taken.
     void drop_written();
-    void begin_head(int status, HTTP::FieldList const&);
-    void begin_closing();
+    void append_head(int status, HTTP::FieldList const&);
+    void start_closing();
     void close();
-    [[nodiscard]] bool keeps_open() const;
+    [[nodiscard]] bool keeps_connection_open() const;
 
     boost::asio::ip::tcp::socket m_socket;
     Handler& m_handler;
@@ -111,10 +114,10 @@
     std::string m_input;
     std::optional<HTTP::RequestParser> m_parser;
     /// A request has begun to come.
-    bool m_has_begun {false};
-    bool m_has_invited_body {false};
-    Core::MonotonicTime m_begun;
-    Core::MonotonicTime m_last_byte;
+    bool m_has_request_started {false};
+    bool m_has_sent_continue {false};
+    Core::MonotonicTime m_request_started_at;
+    Core::MonotonicTime m_last_activity;
 
     bool m_is_head_request {false};
     bool m_caller_keeps_open {true};
@@ -123,8 +126,8 @@
     std::string m_output;
     std::size_t m_written {0};
     /// When the caller last took something.
-    Core::MonotonicTime m_last_taken;
-    std::function<void()> m_on_gone;
+    Core::MonotonicTime m_last_write;
+    std::function<void()> m_on_disconnect;
 };
 
 }
--- a/Libraries/LibGateway/GatewayServer.cpp
+++ b/Libraries/LibGateway/GatewayServer.cpp
@@ -89,8 +89,8 @@
         std::shared_ptr<CallerConnection> caller, HTTP::RequestHead head, std::string, Core::MonotonicTime) override
     {
         if (head.target != m_server.m_settings.readiness_path)
-            return caller->answer(404, {}, "");
-        caller->answer(m_server.m_is_ready ? 200 : 503, {}, "");
+            return caller->send_response(404, {}, "");
+        caller->send_response(m_server.m_is_ready ? 200 : 503, {}, "");
     }
     [[nodiscard]] CallerConnection::Limits const& limits() const override { return m_limits; }
     [[nodiscard]] bool is_draining() const override { return false; }
--- a/Libraries/LibGateway/OwnAnswer.cpp
+++ b/Libraries/LibGateway/OwnAnswer.cpp
@@ -28,7 +28,7 @@
         {{"code", error.code}, {"message", error.message}, {"outcome", to_string(error.outcome)},
             {"request", request}}}};
     // What the caller sent may stand in the text and need not be valid UTF-8.
-    caller.answer(error.status, fields, body.dump(-1, ' ', false, Json::error_handler_t::replace));
+    caller.send_response(error.status, fields, body.dump(-1, ' ', false, Json::error_handler_t::replace));
 }
 
 }
--- a/Libraries/LibGateway/RequestForwarder.cpp
+++ b/Libraries/LibGateway/RequestForwarder.cpp
@@ -29,7 +29,7 @@
     , m_request(std::move(request))
     , m_caller(std::move(caller))
 {
-    m_caller->set_on_gone([this] { handle_caller_gone(); });
+    m_caller->set_on_disconnect([this] { handle_caller_gone(); });
 }
 
 RequestForwarder::~RequestForwarder()
@@ -37,7 +37,7 @@
     if (m_attempt)
         m_attempt->cancel();
     if (!m_is_over)
-        m_caller->set_on_gone(nullptr);
+        m_caller->set_on_disconnect(nullptr);
 }
 
 void RequestForwarder::start(Core::MonotonicTime now)
@@ -570,7 +570,7 @@
 
 void RequestForwarder::cut(std::string_view reason)
 {
-    m_caller->cut();
+    m_caller->abort_response();
     finish(Outcome::Cut, 0, reason);
 }
 
@@ -579,7 +579,7 @@
     if (m_is_over)
         return;
     m_is_over = true;
-    m_caller->set_on_gone(nullptr);
+    m_caller->set_on_disconnect(nullptr);
     log_end(outcome, status, reason);
 }
 
--- a/Libraries/LibGateway/RequestForwarderResponses.cpp
+++ b/Libraries/LibGateway/RequestForwarderResponses.cpp
@@ -107,7 +107,7 @@
         }
         end_attempt(AttemptResult::Success, now);
         note_good_end(now);
-        m_caller->finish();
+        m_caller->finish_response();
         return finish(Outcome::Done, attempt.parser().head().status, "answered");
     }
     hold_back_reading(attempt);
@@ -177,11 +177,11 @@
     }
     if (m_has_begun_answer) {
         m_caller->append(m_kept_answer);
-        m_caller->finish();
+        m_caller->finish_response();
     } else {
         m_context.metrics.note_first_byte(
             m_request.tier, std::chrono::duration_cast<Core::Microseconds>(now - m_request.received));
-        m_caller->answer(head.status, handed_on(head), m_kept_answer);
+        m_caller->send_response(head.status, handed_on(head), m_kept_answer);
     }
     finish(Outcome::Done, head.status, "answered");
 }
@@ -201,7 +201,7 @@
 void RequestForwarder::begin_answer(HTTP::AnswerHead const& head)
 {
     m_has_begun_answer = true;
-    m_caller->begin(head.status, handed_on(head));
+    m_caller->start_response(head.status, handed_on(head));
 }
 
 }
--- a/Meta/deliberate-breaks.sh
+++ b/Meta/deliberate-breaks.sh
@@ -33,7 +33,7 @@
     "19|Libraries/LibGateway/BackendView.h|s/return m_is_listed \&\& !m_states_leaving \&\& m_record.state == .*/return m_is_listed;/|AttemptRulesTest|*ALeavingServer*"
     "20|Libraries/LibGateway/ServerRoster.cpp|s/if (is_settling(now) \&\& !is_leaving)/if (is_settling(now) \&\& is_leaving)/|ServerRosterTest|*WaitsForWhat*"
     "21|Libraries/LibEntry/SharedServers.h|s/if (!m_list->is_provisional)/if (m_list)/|ServerRosterTest|*Provisional*"
-    "22|Libraries/LibGateway/CallerConnection.cpp|s/if (m_state == State::Answering \&\& m_on_gone)/if (m_state == State::Closing \&\& m_on_gone)/|AttemptRulesTest|*WhenTheCallerLeaves*"
+    "22|Libraries/LibGateway/CallerConnection.cpp|s/if (m_state == State::Responding \&\& m_on_disconnect)/if (m_state == State::Closing \&\& m_on_gone)/|AttemptRulesTest|*WhenTheCallerLeaves*"
     "23|Libraries/LibGateway/GatewayServer.cpp|s/if (auto const error = refuse_for_stop(call, now))/if (auto const error = refuse_for_stop(call, now); error \&\& !m_drain_begun)/|AttemptRulesTest|*ThePlannedStop*"
     '24|Libraries/LibPlatform/ObjectFollower.h|s/\*m_revision, wait);/*m_revision, wait * 8);/|GatewayProcessTest|*HangingWatch*'
     '25|Libraries/LibGateway/PlacementPolicy.cpp|s/harmed_streams(server, estimate.unread_tokens, task) . s_late/0 * harmed_streams(server, estimate.unread_tokens, task) * s_late/|PauseRulesTest|*LongPromptsKeepAway*'
@@ -81,7 +81,7 @@
     '68|Libraries/LibGateway/RegionRules.cpp|s/return is_open(find(m_by_route, call.route->name)) \&\&/return/|DrainRulesTest|*ARouteIsServed*'
     '69|Libraries/LibEntry/ServerChanges.cpp|s/if (digest_of(list) != changes.digest)/if (false)/|ServerChangesTest|*AnotherList*'
     '71|Libraries/LibGateway/RequestForwarder.h|s/return held_bytes > settings.held_limit;/return false;/|SlowReadersTest|*HundredsThatReadNothing*'
-    '72|Libraries/LibGateway/CallerConnection.cpp|s/> limits.idle_time)$/> 1000 * limits.idle_time)/|SlowReadersTest|*NobodyReads*'
+    '72|Libraries/LibGateway/CallerConnection.cpp|s/> limits.idle_timeout)$/> 1000 * limits.idle_timeout)/|SlowReadersTest|*NobodyReads*'
     '73|Libraries/LibGateway/BackendFleet.cpp|s/if (view->is_drained() \&\& !is_drained)/if (false)/|DrainRulesTest|*TakenForCold*'
     '74|Libraries/LibGateway/BackendFleet.cpp|s/next_send(server, now) > now;/server.record().instance.empty();/|SignalSharingTest|*KeepsALimit*'
     '75|Libraries/LibPolicy/LimitShares.cpp|s/to_ticks(divide(limit.rate).interval);/to_ticks(0 * divide(limit.rate).interval);/|LimitSharesTest|*AnyNumberOfGateways*'
--- a/Tests/LibGateway/CallerConnectionTest.cpp
+++ b/Tests/LibGateway/CallerConnectionTest.cpp
@@ -50,7 +50,7 @@
     std::string const piece(8U << 10U, 'x');
     std::string taken(16U << 10U, ' ');
     std::size_t most_held = 0;
-    connection->begin(200, {});
+    connection->start_response(200, {});
     for (std::size_t read = 0; read < total;) {
         while (connection->pending_bytes() < window)
             connection->append(piece);
