--- a/Libraries/LibGateway/BackendView.h
+++ b/Libraries/LibGateway/BackendView.h
@@ -3,7 +3,7 @@
 #include <LibCore/Hashing.h>
 #include <LibCore/Time.h>
 #include <LibEntry/SharedServers.h>
-#include <LibGateway/PrefixMemory.h>
+#include <LibGateway/PrefixCacheModel.h>
 #include <LibPolicy/CrashFacts.h>
 #include <LibPolicy/ServerBackoff.h>
 
@@ -155,8 +155,8 @@
     void remove_others(ServerLoad const& load) { m_others -= load; }
     /// The hash of the instance and of its birth, which stands for this life of it in datagrams.
     [[nodiscard]] std::uint64_t id() const { return m_id; }
-    [[nodiscard]] PrefixMemory& prefixes() { return m_prefixes; }
-    [[nodiscard]] PrefixMemory const& prefixes() const { return m_prefixes; }
+    [[nodiscard]] PrefixCacheModel& prefixes() { return m_prefixes; }
+    [[nodiscard]] PrefixCacheModel const& prefixes() const { return m_prefixes; }
 
     /// Its present life, as gateways tell each other of crashes.
     [[nodiscard]] Policy::ServerLife life() const
@@ -273,7 +273,7 @@
     Core::MonotonicTime m_cold_until;
     ServerLoad m_own;
     ServerLoad m_others;
-    PrefixMemory m_prefixes;
+    PrefixCacheModel m_prefixes;
     DecayingMean m_reading;
     DecayingValue m_failures;
     unsigned m_failures_in_a_row {0};
--- a/Libraries/LibGateway/LoadSharing.cpp
+++ b/Libraries/LibGateway/LoadSharing.cpp
@@ -205,7 +205,7 @@
         parts.clear();
         for (int index = 0; index < placement.chains_size(); ++index)
             parts.push_back({placement.chains(index), placement.tokens(index)});
-        server->prefixes().note_read(parts, placement.own_tokens());
+        server->prefixes().note_prefill(parts, placement.own_tokens());
     }
 }
 
--- a/Libraries/LibGateway/PlacementPolicy.cpp
+++ b/Libraries/LibGateway/PlacementPolicy.cpp
@@ -51,7 +51,7 @@
 /// Tokens of the prompt's beginning that the candidate is believed to keep.
 double believed_kept(Candidate const& candidate, RoutedRequest const& request, double shared_tokens)
 {
-    double const known = candidate.server->prefixes().kept_tokens(request.prompt);
+    double const known = candidate.server->prefixes().cached_tokens(request.prompt);
     return candidate.rank == 0 ? std::max(known, s_assumed_at_home * shared_tokens) : known;
 }
 
--- a/Libraries/LibGateway/RequestForwarder.cpp
+++ b/Libraries/LibGateway/RequestForwarder.cpp
@@ -211,7 +211,7 @@
     m_attempt->load() = {1, m_choice.unread_tokens, m_choice.is_pause_sensitive ? 1U : 0U};
     m_choice.server->begin_attempt(m_attempt->load());
     m_context.fleet.note_sent(*m_choice.server, now);
-    m_choice.server->prefixes().note_read(m_request.prompt);
+    m_choice.server->prefixes().note_prefill(m_request.prompt);
     m_context.load.note_placement(*m_choice.server, shared_parts(m_request), own_tokens(m_request));
     m_attempt->start(request_for(*m_choice.server, now), now);
     m_context.log.write(Observe::LogEvent("dispatch")
--- a/Meta/deliberate-breaks.sh
+++ b/Meta/deliberate-breaks.sh
@@ -60,7 +60,7 @@
     '46|Libraries/LibCluster/FleetClock.cpp|s/return passed \* 2 >= hosts;/return passed >= hosts;/|UsageReporterTest|*ClocksThatJump*'
     '47|Libraries/LibPolicy/Admission.cpp|s/if (!is_in_place \&\& (!is_late/if ((is_in_place ? true : true) \&\& (is_late ? true : true/|OverloadTest|*ServesNoFewer*'
     '48|Libraries/LibPolicy/Admission.cpp|s/is_lower_rank_open(service, question.rank, now)/(is_lower_rank_open(service, question.rank, now) \&\& false)/|AdmissionTest|*NoUrgentRequest*'
-    '49|Libraries/LibGateway/PrefixMemory.h|s/if (own_tokens > 0)/if (own_tokens > 0 \&\& false)/|GatewayPropertiesTest|*WhatNoOtherPromptShares*'
+    '49|Libraries/LibGateway/PrefixCacheModel.h|s/if (own_tokens > 0)/if (own_tokens > 0 \&\& false)/|GatewayPropertiesTest|*WhatNoOtherPromptShares*'
     '51|Libraries/LibGateway/PlacementPolicy.cpp|s/return occupied \* s_copy_share/return 0 * occupied * s_copy_share/|PauseRulesTest|*CopiesOfSharedParts*'
     '52|Libraries/LibPolicy/CrashLedger.cpp|s/needed \&\& leads(digest, evidence, until);/needed;/|CrashLedgerTest|*HoldsNobodyAmongTwo*'
     '53|Libraries/LibPolicy/CrashLedger.cpp|s/return good \&\& crash.time - \*good <= s_good_memory;/return good \&\& crash.time < *good;/|CrashLedgerTest|*HoldsNobodyWhoEndedWell*'
--- a/Tests/LibGateway/BackendFleetTest.cpp
+++ b/Tests/LibGateway/BackendFleetTest.cpp
@@ -47,7 +47,7 @@
     follow(1'000);
     auto const before = view();
     std::vector<PromptPart> const prompt {{7, 100}};
-    before->prefixes().note_read(prompt);
+    before->prefixes().note_prefill(prompt);
     before->begin_attempt({1, 100, 0});
     before->note_unreachable(1, s_start);
     LoadSources others(m_fleet);
@@ -56,7 +56,7 @@
 
     follow(2'000);
     auto const after = view();
-    EXPECT_EQ(after->prefixes().kept_tokens(prompt), 0U);
+    EXPECT_EQ(after->prefixes().cached_tokens(prompt), 0U);
     EXPECT_EQ(after->load(), ServerLoad());
     EXPECT_FALSE(after->is_avoided(s_start));
     EXPECT_FALSE(after->suspected_since());
@@ -158,7 +158,7 @@
         : ServerFleet({"i-1", "i-2"})
     {
         m_call.prompt = {{7, 20'000}, {8, 100}};
-        server().prefixes().note_read(m_call.prompt);
+        server().prefixes().note_prefill(m_call.prompt);
         server().begin_attempt({8, 400'000, 0});
     }
 };
--- a/Tests/LibGateway/GatewayPropertiesTest.cpp
+++ b/Tests/LibGateway/GatewayPropertiesTest.cpp
@@ -171,32 +171,32 @@
     EXPECT_LE(budget.balance(), 1);
 }
 
-TEST(PrefixMemory, WhatNoOtherPromptSharesTakesMemoryAsWell)
+TEST(PrefixCacheModel, WhatNoOtherPromptSharesTakesMemoryAsWell)
 {
-    PrefixMemory memory;
-    memory.set_capacity(10'000);
+    PrefixCacheModel model;
+    model.set_capacity(10'000);
     std::vector<PromptPart> const shared {{77, 6'000}};
-    memory.note_read(shared);
-    memory.note_read({}, 3'000);
-    EXPECT_EQ(memory.kept_tokens(shared), 6'000U);
-    memory.note_read({}, 3'000);
-    EXPECT_EQ(memory.kept_tokens(shared), 0U);
+    model.note_prefill(shared);
+    model.note_prefill({}, 3'000);
+    EXPECT_EQ(model.cached_tokens(shared), 6'000U);
+    model.note_prefill({}, 3'000);
+    EXPECT_EQ(model.cached_tokens(shared), 0U);
 }
 
-RC_GTEST_PROP(PrefixMemory, NeverRemembersMoreThanItsCapacity, ())
+RC_GTEST_PROP(PrefixCacheModel, NeverRemembersMoreThanItsCapacity, ())
 {
-    PrefixMemory memory;
-    memory.set_capacity(1'000);
+    PrefixCacheModel model;
+    model.set_capacity(1'000);
     for (int round = 0; round < 50; ++round) {
         std::vector<PromptPart> prompt;
         auto const length = *rc::gen::inRange(1, 5);
         for (int part = 0; part < length; ++part)
             prompt.push_back({*rc::gen::inRange<std::uint64_t>(0, 30), 100});
-        memory.note_read(prompt);
+        model.note_prefill(prompt);
     }
     std::uint32_t kept = 0;
     for (std::uint64_t chain = 0; chain < 30; ++chain)
-        kept += memory.kept_tokens(std::vector<PromptPart> {{chain, 100}});
+        kept += model.cached_tokens(std::vector<PromptPart> {{chain, 100}});
     RC_ASSERT(kept <= 1'000U);
 }
 
--- a/Tests/LibGateway/LoadSharingTest.cpp
+++ b/Tests/LibGateway/LoadSharingTest.cpp
@@ -137,7 +137,7 @@
     for (auto const& node : m_nodes) {
         if (node->id == this->node(4).id)
             continue;
-        EXPECT_EQ(view(*node, "i-5").prefixes().kept_tokens(parts), 400U) << node->address;
+        EXPECT_EQ(view(*node, "i-5").prefixes().cached_tokens(parts), 400U) << node->address;
     }
 }
 
--- a/Tests/LibGateway/OverloadTest.cpp
+++ b/Tests/LibGateway/OverloadTest.cpp
@@ -230,7 +230,7 @@
         run->begun = m_next.at(number);
         run->load = {1, choice.unread_tokens, choice.is_pause_sensitive ? 1U : 0U};
         choice.server->begin_attempt(run->load);
-        choice.server->prefixes().note_read(call.prompt);
+        choice.server->prefixes().note_prefill(call.prompt);
         SimulatedStream stream;
         stream.priority = call.priority;
         stream.prompt = call.prompt;
--- a/Tests/LibGateway/PauseRulesTest.cpp
+++ b/Tests/LibGateway/PauseRulesTest.cpp
@@ -195,7 +195,7 @@
     for (int number = 0; number < 20; ++number) {
         auto const prompt = prompt_call(Core::concat("case-", number, ":13000,own:100"));
         auto const home = choose(prompt).server;
-        home->prefixes().note_read(prompt.prompt);
+        home->prefixes().note_prefill(prompt.prompt);
         ServerLoad busy {1, 90'000, 0};
         home->begin_attempt(busy);
         auto const second = choose(prompt).server;
@@ -213,7 +213,7 @@
 {
     auto const first = prompt_call("a:4000,b:4000,own:100");
     auto const home = choose(first).server;
-    home->prefixes().note_read(first.prompt);
+    home->prefixes().note_prefill(first.prompt);
     EXPECT_EQ(choose(first).source, nullptr);
     // Its queue is longer than the target.
     home->begin_attempt({1, 90'000, 0});
@@ -229,7 +229,7 @@
 {
     auto const call = prompt_call("a:4000,b:4000,own:100");
     auto const home = choose(call).server;
-    home->prefixes().note_read(call.prompt);
+    home->prefixes().note_prefill(call.prompt);
     auto record = home->record();
     record.state = Table::BackendServerState::Leaving;
     home->set_record(record);
