--- a/Libraries/LibGateway/RequestForwarder.cpp
+++ b/Libraries/LibGateway/RequestForwarder.cpp
@@ -49,20 +49,20 @@
 void RequestForwarder::dispatch(Core::MonotonicTime now)
 {
     if (now >= m_request.deadline)
-        return give_up(now);
+        return fail_deadline(now);
     // Every way to a server leads through here: the first send, a repeat, a stream that goes on, one that has stalled.
     if (is_quarantined(now))
-        return hold_back();
+        return reject_quarantined();
     // Looked at again with the next tick.
     if (is_in_doubt(now))
         return;
-    auto const choice = choose(now);
+    auto const choice = choose_server(now);
     if (!choice.server)
         return hold(now);
     m_held_since.reset();
-    if (auto const rejection = refuse_now(choice, now)) {
+    if (auto const rejection = check_admission(choice, now)) {
         m_choice = choice;
-        tell_rejection(*rejection);
+        log_rejection(*rejection);
         return fail(
             Status::s_bad_gateway, "engines_full", "no engine is expected to begin in time", rejection->retry_after);
     }
@@ -81,69 +81,70 @@
     return !ledger.is_empty() && ledger.is_in_doubt(m_request.digest(), now);
 }
 
-void RequestForwarder::hold_back()
+void RequestForwarder::reject_quarantined()
 {
     m_context.metrics.note_held_back();
     drop_unsent_attempt();
-    if (m_has_begun_answer)
-        return cut("quarantined");
+    if (m_has_started_response)
+        return abort_response("quarantined");
     // It has run, if not under this id, so that nothing may say that it has not, or invite it to come again.
     m_may_have_run = true;
     fail(Status::s_bad_gateway, "quarantined", "this request has crashed the servers that began it");
 }
 
-bool RequestForwarder::has_run_for_long(Core::MonotonicTime now) const
+bool RequestForwarder::has_long_running_attempt(Core::MonotonicTime now) const
 {
     auto const head_received_at = m_attempt->head_received_at();
     return head_received_at && Core::elapsed(*head_received_at, now) > m_context.settings.recent_start_limit;
 }
 
-void RequestForwarder::recall()
+void RequestForwarder::reject_quarantined_attempt()
 {
     m_may_have_run = true;
     drop_unsent_attempt();
-    hold_back();
+    reject_quarantined();
 }
 
-Choice RequestForwarder::choose(Core::MonotonicTime now) const
+Choice RequestForwarder::choose_server(Core::MonotonicTime now) const
 {
     auto const& ledger = m_context.crashes.ledger();
-    auto const without = excluded();
+    auto const excluded = excluded_servers();
     if (!ledger.is_empty()) {
         // A host that crashes whatever it gets is so told from a request that crashes whatever gets it, and the request
         // is not held for the host's fault.
-        auto away = without;
-        m_context.fleet.add_servers_at(ledger.places_crashed(m_request.digest()), away);
-        if (away.size() > without.size()) {
-            auto choice = m_context.fleet.choose(m_request, away, now);
+        auto excluded_with_crash_places = excluded;
+        m_context.fleet.add_servers_at(ledger.places_crashed(m_request.digest()), excluded_with_crash_places);
+        if (excluded_with_crash_places.size() > excluded.size()) {
+            auto choice = m_context.fleet.choose(m_request, excluded_with_crash_places, now);
             if (choice.server)
                 return choice;
         }
     }
-    return m_context.fleet.choose(m_request, without, now);
+    return m_context.fleet.choose(m_request, excluded, now);
 }
 
-std::optional<Policy::Rejection> RequestForwarder::refuse_now(Choice const& choice, Core::MonotonicTime now)
+std::optional<Policy::Rejection> RequestForwarder::check_admission(Choice const& choice, Core::MonotonicTime now)
 {
     // What was taken once goes on: a fault is no reason to refuse it.
-    bool const has_just_come = m_sends == 0 && m_unsent == 0;
-    if (!has_just_come || !m_request.is_stream() || m_request.prompt.empty())
+    bool const is_first_attempt = m_sends == 0 && m_failed_connects == 0;
+    if (!is_first_attempt || !m_request.is_stream() || m_request.prompt.empty())
         return std::nullopt;
     Policy::AdmissionQuestion const question {m_request.service, m_request.request_class->name, m_request.priority,
         now - m_request.received, choice.predicted_wait, m_request.request_class->first_token_target,
         m_request.deadline - now};
-    return m_context.admission.refuse(question, own_draw(), now);
+    return m_context.admission.refuse(question, request_fraction(), now);
 }
 
-double RequestForwarder::own_draw() const
+double RequestForwarder::request_fraction() const
 {
     constexpr std::uint64_t steps = 1'000;
     return static_cast<double>(Core::hash_bytes(m_request.id) % steps) / steps;
 }
 
-void RequestForwarder::tell_rejection(Policy::Rejection const& rejection) const
+void RequestForwarder::log_rejection(Policy::Rejection const& rejection) const
 {
-    auto const whole = [](Policy::FineTime time) { return std::chrono::duration_cast<Core::Milliseconds>(time); };
+    auto const to_milliseconds
+        = [](Policy::FineTime time) { return std::chrono::duration_cast<Core::Milliseconds>(time); };
     m_context.log.write(Observe::LogEvent("not-admitted")
                             .add("request", m_request.id)
                             .add("service", m_request.service)
@@ -151,7 +152,7 @@
                             .add("priority", m_request.priority)
                             .add("reason", to_string(rejection.reason))
                             .add("predicted_wait_ms", m_choice.predicted_wait)
-                            .add("probable_wait_ms", whole(rejection.probable_wait))
+                            .add("probable_wait_ms", to_milliseconds(rejection.probable_wait))
                             .add("target_ms", m_request.request_class->first_token_target)
                             .add("retry_after_ms", rejection.retry_after)
                             .add("unread_tokens", m_choice.unread_tokens)
@@ -159,10 +160,10 @@
                             .add("open", m_choice.server->load().open));
 }
 
-std::set<std::string> RequestForwarder::excluded() const
+std::set<std::string> RequestForwarder::excluded_servers() const
 {
-    auto servers = m_tried;
-    servers.insert(m_unreached.begin(), m_unreached.end());
+    auto servers = m_tried_servers;
+    servers.insert(m_unreachable_servers.begin(), m_unreachable_servers.end());
     return servers;
 }
 
@@ -178,26 +179,26 @@
         break;
     }
     // One that was sent already has had its try: another server is not waited for.
-    bool const has_tried = !m_tried.empty();
+    bool const has_been_sent = !m_tried_servers.empty();
     // Those that took no connection may do so by now.
-    m_unreached.clear();
+    m_unreachable_servers.clear();
     if (!m_held_since)
         m_held_since = now;
     auto const target = m_request.request_class->first_token_target;
     auto const limit = std::min(m_context.settings.hold_limit, target / 4);
     auto const opening = m_context.fleet.next_opening(m_request, now);
     bool const opens_too_late = opening && Core::elapsed(*m_held_since, opening->here) > limit;
-    if (!has_tried && !opens_too_late && Core::elapsed(*m_held_since, now) < limit)
+    if (!has_been_sent && !opens_too_late && Core::elapsed(*m_held_since, now) < limit)
         return;
     if (opening)
         return fail(Status::s_bad_gateway, "servers_limited", "no backend server accepts it before that time",
-            return_delay(*opening, now));
+            retry_delay(*opening, now));
     fail(Status::s_bad_gateway, "no_backend_server", "no backend server of the service can be reached");
 }
 
-Core::Milliseconds RequestForwarder::return_delay(Opening const& opening, Core::MonotonicTime now) const
+Core::Milliseconds RequestForwarder::retry_delay(Opening const& opening, Core::MonotonicTime now) const
 {
-    return Policy::return_delay(Core::elapsed(now, opening.anywhere), m_request.priority, own_draw());
+    return Policy::return_delay(Core::elapsed(now, opening.anywhere), m_request.priority, request_fraction());
 }
 
 void RequestForwarder::send_to(Choice const& choice, Core::MonotonicTime now)
@@ -213,7 +214,7 @@
     m_context.fleet.note_sent(*m_choice.server, now);
     m_choice.server->prefixes().note_prefill(m_request.prompt);
     m_context.load.note_placement(*m_choice.server, shared_parts(m_request), own_tokens(m_request));
-    m_attempt->start(request_for(*m_choice.server, now), now);
+    m_attempt->start(serialize_request(*m_choice.server, now), now);
     m_context.log.write(Observe::LogEvent("dispatch")
                             .add("request", m_request.id)
                             .add("server", m_choice.server->record().instance)
@@ -237,25 +238,25 @@
         m_sends == 0 ? Observe::LogWeight::Ordinary : Observe::LogWeight::Notable);
 }
 
-std::string RequestForwarder::request_for(BackendView const& server, Core::MonotonicTime now) const
+std::string RequestForwarder::serialize_request(BackendView const& server, Core::MonotonicTime now) const
 {
     auto const& dialect = m_context.dialect;
     auto const& head = m_request.head;
     // What the gateway sets itself, and the key, which no backend server may see.
-    std::array<std::string_view, 7> const replaced {"Authorization", "Content-Length", "Expect", dialect.remaining_time,
-        dialect.expected_instance, dialect.workspace, dialect.priority};
+    std::array<std::string_view, 7> const replaced_fields {"Authorization", "Content-Length", "Expect",
+        dialect.remaining_time, dialect.expected_instance, dialect.workspace, dialect.priority};
     // An engine answers an order that rests on a lease or copy that it does not have with a refusal, and callers may
     // set such fields.
-    auto const is_kept_back = [&](std::string_view field) {
-        auto const is_named = [field](std::string_view name) { return HTTP::is_same_name(name, field); };
-        return std::ranges::any_of(replaced, is_named) || std::ranges::any_of(dialect.engine_orders, is_named);
+    auto const is_dropped = [&](std::string_view field) {
+        auto const has_name = [field](std::string_view name) { return HTTP::is_same_name(name, field); };
+        return std::ranges::any_of(replaced_fields, has_name) || std::ranges::any_of(dialect.engine_orders, has_name);
     };
     auto const connection = head.fields.value_or("Connection", "");
-    bool const is_resumed = m_first_event.has_value();
+    bool const is_resumed = m_first_event_at.has_value();
     auto text = Core::concat(head.method, " ", head.target, " HTTP/1.1\r\n");
     text.reserve(text.size() + m_request.body.size() + 1024);
     for (auto const& field : head.fields.all()) {
-        if (is_kept_back(field.name) || HTTP::is_connection_field(field.name, connection))
+        if (is_dropped(field.name) || HTTP::is_connection_field(field.name, connection))
             continue;
         if (is_resumed && HTTP::is_same_name(field.name, dialect.last_event_id))
             continue;
@@ -272,9 +273,9 @@
         Core::append(&text, dialect.prompt_source, ": ", m_choice.source->record().address.to_string(), "\r\n");
     if (is_resumed && m_events.last_id())
         Core::append(&text, dialect.last_event_id, ": ", *m_events.last_id(), "\r\n");
-    bool const names_body
+    bool const has_body
         = head.fields.find("Content-Length") != nullptr || head.fields.find("Transfer-Encoding") != nullptr;
-    if (names_body)
+    if (has_body)
         Core::append(&text, "Content-Length: ", m_request.body.size(), "\r\n");
     text += "Connection: close\r\n\r\n";
     text += m_request.body;
@@ -308,17 +309,17 @@
     boost::asio::post(m_context.loop, [attempt] {});
 }
 
-void RequestForwarder::note_running(Core::MonotonicTime begun)
+void RequestForwarder::count_usage(Core::MonotonicTime started_at)
 {
-    if (m_context.usage == nullptr || m_request.workspace.empty() || std::exchange(*m_is_counted, true))
+    if (m_context.usage == nullptr || m_request.workspace.empty() || std::exchange(*m_is_usage_counted, true))
         return;
-    m_context.usage->count(m_request.workspace, begun);
+    m_context.usage->count(m_request.workspace, started_at);
 }
 
-void RequestForwarder::note_unanswered()
+void RequestForwarder::count_unanswered_attempt()
 {
     if (m_attempt && m_attempt->is_sent() && !m_request.is_stream())
-        note_running(m_attempt->started_at());
+        count_usage(m_attempt->started_at());
 }
 
 void RequestForwarder::handle_failure(
@@ -327,18 +328,18 @@
     auto const now = Core::monotonic_now();
     if (failure == BackendAttempt::Failure::Broken) {
         m_context.load.note_broken(attempt.server());
-        return handle_broken(reason, now);
+        return handle_broken_attempt(reason, now);
     }
     attempt.server().note_unreachable(m_context.entry_count, now);
     m_context.load.note_unreachable(attempt.server());
     m_context.metrics.note_unreachable();
-    m_unreached.insert(attempt.server().record().instance);
+    m_unreachable_servers.insert(attempt.server().record().instance);
     m_attempt.reset();
     m_context.log.write(Observe::LogEvent("unreachable")
                             .add("request", m_request.id)
                             .add("server", m_choice.server->record().instance)
                             .add("reason", reason));
-    if (++m_unsent >= m_context.settings.max_connects)
+    if (++m_failed_connects >= m_context.settings.max_connects)
         return fail(Status::s_bad_gateway, "unreachable", "no backend server took the connection");
     dispatch(now);
 }
@@ -347,51 +348,52 @@
 {
     auto const status = m_attempt->parser().head().status;
     auto const retry_after = std::string(m_attempt->parser().head().fields.value_or("Retry-After", ""));
-    m_tried.insert(m_attempt->server().record().instance);
+    m_tried_servers.insert(m_attempt->server().record().instance);
     end_attempt(result_of_error(now), now);
     m_context.log.write(Observe::LogEvent("refused-by-server")
                             .add("request", m_request.id)
                             .add("server", m_choice.server->record().instance)
                             .add("status", status)
                             .add("retry_after", retry_after));
-    if (may_try_again(now))
-        return try_again("the backend server did not run it", now);
-    if (m_has_begun_answer)
-        return cut("the stream was not taken up");
+    if (may_retry(now))
+        return retry("the backend server did not run it", now);
+    if (m_has_started_response)
+        return abort_response("the stream was not taken up");
     auto const opening = m_context.fleet.next_opening(m_request, now);
     fail(Status::s_bad_gateway, "refused", "the backend server did not take the request",
-        opening ? std::optional(return_delay(*opening, now)) : std::nullopt);
+        opening ? std::optional(retry_delay(*opening, now)) : std::nullopt);
 }
 
-void RequestForwarder::handle_broken(std::string const& reason, Core::MonotonicTime now)
+void RequestForwarder::handle_broken_attempt(std::string const& reason, Core::MonotonicTime now)
 {
     m_may_have_run = true;
-    m_tried.insert(m_attempt->server().record().instance);
+    m_tried_servers.insert(m_attempt->server().record().instance);
     auto const head_received_at = m_attempt->head_received_at();
     auto const sent = m_attempt->started_at();
-    note_unanswered();
+    count_unanswered_attempt();
     m_context.crashes.note_break(m_attempt->server(), m_request.digest(), exposure(now), now);
-    if (m_context.usage != nullptr && m_request.is_stream() && !*m_is_counted && !m_request.workspace.empty())
-        m_context.unseen_runs.add(m_choice.server, m_request.workspace, m_is_counted, now);
+    if (m_context.usage != nullptr && m_request.is_stream() && !*m_is_usage_counted && !m_request.workspace.empty())
+        m_context.unseen_runs.add(m_choice.server, m_request.workspace, m_is_usage_counted, now);
     end_attempt(AttemptResult::Failure, now);
-    m_kept_answer.clear();
+    m_buffered_response.clear();
     m_context.log.write(
         Observe::LogEvent("broken")
             .add("request", m_request.id)
             .add("server", m_choice.server->record().instance)
             .add("digest", m_request.digest().to_string())
             .add("send", m_sends)
-            .add("has_begun", m_has_begun_answer)
+            .add("has_begun", m_has_started_response)
             .add("sent_ms_ago", Core::elapsed(sent, now))
             .add("head_ms_ago", head_received_at ? Core::elapsed(*head_received_at, now) : Core::Milliseconds(-1))
             .add("reason", reason));
-    bool const can_go_on = !m_has_begun_answer || (m_request.is_stream() && (m_events.last_id() || !m_first_event));
-    if (m_request.is_repeatable() && can_go_on && may_try_again(now)) {
+    bool const can_continue
+        = !m_has_started_response || (m_request.is_stream() && (m_events.last_id() || !m_first_event_at));
+    if (m_request.is_repeatable() && can_continue && may_retry(now)) {
         m_events.drop_partial_event();
-        return try_again(reason, now);
+        return retry(reason, now);
     }
-    if (m_has_begun_answer)
-        return cut(reason);
+    if (m_has_started_response)
+        return abort_response(reason);
     fail(Status::s_bad_gateway, "broken", "the backend server broke off its answer");
 }
 
@@ -399,12 +401,13 @@
 {
     auto const head_received_at = m_attempt->head_received_at();
     // An answer that is no stream begins when it ends, so that the send stands for the beginning.
-    auto const begun = head_received_at || m_request.is_stream() ? head_received_at : m_attempt->started_at();
-    bool const has_just_begun = begun && Core::elapsed(*begun, now) <= m_context.settings.recent_start_limit;
-    return has_just_begun ? Policy::Exposure::Fresh : Policy::Exposure::Weak;
+    auto const started_at = head_received_at || m_request.is_stream() ? head_received_at : m_attempt->started_at();
+    bool const has_just_started
+        = started_at && Core::elapsed(*started_at, now) <= m_context.settings.recent_start_limit;
+    return has_just_started ? Policy::Exposure::Fresh : Policy::Exposure::Weak;
 }
 
-bool RequestForwarder::may_try_again(Core::MonotonicTime now)
+bool RequestForwarder::may_retry(Core::MonotonicTime now)
 {
     // The attempt in hand is counted when it ends.
     auto const sends = m_sends + (m_attempt ? 1 : 0);
@@ -420,7 +423,7 @@
     return false;
 }
 
-void RequestForwarder::try_again(std::string_view why, Core::MonotonicTime now)
+void RequestForwarder::retry(std::string_view why, Core::MonotonicTime now)
 {
     m_context.metrics.note_retry();
     m_context.log.write(Observe::LogEvent("retry")
@@ -428,7 +431,7 @@
                             .add("why", why)
                             .add("sends", m_sends)
                             .add("budget", m_context.budget_of(m_request.service).balance()));
-    m_kept_answer.clear();
+    m_buffered_response.clear();
     dispatch(now);
 }
 
@@ -437,11 +440,11 @@
     if (m_is_over)
         return;
     if (now >= m_request.deadline)
-        return give_up(now);
+        return fail_deadline(now);
     if (!m_attempt)
         return dispatch(now);
-    if (is_quarantined(now) && !has_run_for_long(now))
-        return recall();
+    if (is_quarantined(now) && !has_long_running_attempt(now))
+        return reject_quarantined_attempt();
     if (!m_attempt->is_sent() && Core::elapsed(m_attempt->started_at(), now) > m_context.settings.connect_limit) {
         auto const attempt = m_attempt;
         attempt->cancel();
@@ -473,52 +476,52 @@
 {
     auto const& settings = m_context.settings;
     auto const& request_class = *m_request.request_class;
-    auto const times = [](Core::Milliseconds duration, double factor) {
+    auto const scaled = [](Core::Milliseconds duration, double factor) {
         return std::chrono::duration_cast<Core::Milliseconds>(duration * factor);
     };
-    bool const has_begun = m_attempt->head_received_at().has_value();
-    if (m_request.is_stream() && has_begun)
-        return std::max(settings.stall_min_pause, times(request_class.token_gap_target, settings.stall_pause_factor));
+    bool const has_response_head = m_attempt->head_received_at().has_value();
+    if (m_request.is_stream() && has_response_head)
+        return std::max(settings.stall_min_pause, scaled(request_class.token_gap_target, settings.stall_pause_factor));
     auto const factor = m_request.is_stream() ? settings.stall_first_event_factor : settings.stall_factor;
-    auto const part
+    auto const target_share
         = m_request.is_stream() ? settings.stall_first_event_min_target_share : settings.stall_min_target_share;
-    return std::max(times(m_choice.predicted_wait, factor), times(request_class.first_token_target, part));
+    return std::max(scaled(m_choice.predicted_wait, factor), scaled(request_class.first_token_target, target_share));
 }
 
 void RequestForwarder::replace_stalled_attempt(Core::MonotonicTime now)
 {
     auto const silence = Core::elapsed(m_attempt->last_received_at(), now);
-    bool const is_silent_by_us = m_attempt->is_paused();
+    bool const is_paused_for_caller = m_attempt->is_paused();
     auto const server = m_attempt->server().record().instance;
-    auto without_it = excluded();
-    without_it.insert(server);
-    bool const has_other = m_context.fleet.choose(m_request, without_it, now).server != nullptr;
-    if (is_silent_by_us || !has_other || !may_try_again(now))
+    auto excluded = excluded_servers();
+    excluded.insert(server);
+    bool const has_alternative = m_context.fleet.choose(m_request, excluded, now).server != nullptr;
+    if (is_paused_for_caller || !has_alternative || !may_retry(now))
         return;
     m_context.log.write(Observe::LogEvent("stalled")
                             .add("request", m_request.id)
                             .add("server", m_attempt->server().record().instance)
                             .add("silent_ms", silence)
                             .add("predicted_wait_ms", m_choice.predicted_wait)
-                            .add("has_begun", m_has_begun_answer));
+                            .add("has_begun", m_has_started_response));
     m_may_have_run = true;
-    m_tried.insert(server);
-    note_unanswered();
+    m_tried_servers.insert(server);
+    count_unanswered_attempt();
     end_attempt(AttemptResult::Failure, now);
     m_events.drop_partial_event();
-    try_again("the backend server is silent", now);
+    retry("the backend server is silent", now);
 }
 
-void RequestForwarder::give_up(Core::MonotonicTime now)
+void RequestForwarder::fail_deadline(Core::MonotonicTime now)
 {
     if (m_attempt && m_attempt->is_sent()) {
         m_may_have_run = true;
-        note_unanswered();
-        end_attempt(m_first_event ? AttemptResult::Success : AttemptResult::Failure, now);
+        count_unanswered_attempt();
+        end_attempt(m_first_event_at ? AttemptResult::Success : AttemptResult::Failure, now);
     }
     drop_unsent_attempt();
-    if (m_has_begun_answer)
-        return cut("the time limit is over");
+    if (m_has_started_response)
+        return abort_response("the time limit is over");
     fail(Status::s_gateway_timeout, "time_limit", "the request's time limit is over");
 }
 
@@ -535,7 +538,7 @@
     if (m_is_over)
         return;
     m_context.metrics.note_cancelled();
-    note_unanswered();
+    count_unanswered_attempt();
     if (m_attempt)
         m_attempt->cancel();
     finish(m_may_have_run || m_sends > 0 || (m_attempt && m_attempt->is_sent()) ? Outcome::Unknown : Outcome::NotRun, 0,
@@ -550,8 +553,8 @@
         m_may_have_run = m_may_have_run || m_attempt->is_sent();
         m_attempt->cancel();
     }
-    if (m_has_begun_answer)
-        return cut("stopping");
+    if (m_has_started_response)
+        return abort_response("stopping");
     fail(Status::s_bad_gateway, "stopping", "this gateway stops");
 }
 
@@ -568,7 +571,7 @@
     finish(error.outcome, error.status, error.code);
 }
 
-void RequestForwarder::cut(std::string_view reason)
+void RequestForwarder::abort_response(std::string_view reason)
 {
     m_caller->abort_response();
     finish(Outcome::Cut, 0, reason);
@@ -604,7 +607,8 @@
             .add("workspace", m_request.workspace)
             .add("sends", m_sends)
             .add("server", m_choice.server ? m_choice.server->record().instance : std::string())
-            .add("first_ms", m_first_event ? Core::elapsed(m_request.received, *m_first_event) : Core::Milliseconds(-1))
+            .add("first_ms",
+                m_first_event_at ? Core::elapsed(m_request.received, *m_first_event_at) : Core::Milliseconds(-1))
             .add("target_ms", m_request.request_class->first_token_target)
             .add("total_ms", std::chrono::duration_cast<Core::Milliseconds>(total))
             .add("longest_pause_ms", m_longest_pause)
--- a/Libraries/LibGateway/RequestForwarder.h
+++ b/Libraries/LibGateway/RequestForwarder.h
@@ -124,48 +124,48 @@
     void hold(Core::MonotonicTime now);
     void send_to(Choice const&, Core::MonotonicTime now);
     /// The reason to reject a new prompt for this server, or nullopt to admit it.
-    [[nodiscard]] std::optional<Policy::Rejection> refuse_now(Choice const&, Core::MonotonicTime now);
+    [[nodiscard]] std::optional<Policy::Rejection> check_admission(Choice const&, Core::MonotonicTime now);
     /// A random number of the request from 0 to 1.
-    [[nodiscard]] double own_draw() const;
+    [[nodiscard]] double request_fraction() const;
     /// Delay to send as Retry-After when the request can be served at that opening.
-    [[nodiscard]] Core::Milliseconds return_delay(Opening const&, Core::MonotonicTime now) const;
-    void tell_rejection(Policy::Rejection const&) const;
-    [[nodiscard]] std::string request_for(BackendView const&, Core::MonotonicTime now) const;
+    [[nodiscard]] Core::Milliseconds retry_delay(Opening const&, Core::MonotonicTime now) const;
+    void log_rejection(Policy::Rejection const&) const;
+    [[nodiscard]] std::string serialize_request(BackendView const&, Core::MonotonicTime now) const;
 
     /// Whom not to ask.
-    [[nodiscard]] std::set<std::string> excluded() const;
+    [[nodiscard]] std::set<std::string> excluded_servers() const;
     /// The best server, away from places where servers crashed under this request while there are others.
-    [[nodiscard]] Choice choose(Core::MonotonicTime now) const;
+    [[nodiscard]] Choice choose_server(Core::MonotonicTime now) const;
     /// Whether the request is known to crash whatever begins it.
     [[nodiscard]] bool is_quarantined(Core::MonotonicTime now) const;
     /// Whether that is about to be known.
     [[nodiscard]] bool is_in_doubt(Core::MonotonicTime now) const;
     /// Ends a request that is quarantined.
-    void hold_back();
+    void reject_quarantined();
     /// The same while it is at a server, which may not have begun it yet. One that has run for long is left there: its
     /// good end would clear the request.
-    void recall();
-    [[nodiscard]] bool has_run_for_long(Core::MonotonicTime now) const;
+    void reject_quarantined_attempt();
+    [[nodiscard]] bool has_long_running_attempt(Core::MonotonicTime now) const;
     /// How the request is at its server.
     [[nodiscard]] Policy::Exposure exposure(Core::MonotonicTime now) const;
     void handle_not_run(Core::MonotonicTime now);
-    void handle_broken(std::string const& reason, Core::MonotonicTime now);
-    [[nodiscard]] bool may_try_again(Core::MonotonicTime now);
-    void try_again(std::string_view why, Core::MonotonicTime now);
+    void handle_broken_attempt(std::string const& reason, Core::MonotonicTime now);
+    [[nodiscard]] bool may_retry(Core::MonotonicTime now);
+    void retry(std::string_view why, Core::MonotonicTime now);
 
     /// Whether the answer belongs to this request, by the id that it echoes.
-    [[nodiscard]] bool is_answer_to_this(HTTP::AnswerHead const&) const;
-    [[nodiscard]] bool is_answer_sound(HTTP::AnswerHead const&, std::string& problem) const;
-    void take_stream(BackendAttempt&);
-    void take_whole(BackendAttempt&);
+    [[nodiscard]] bool is_response_to_request(HTTP::AnswerHead const&) const;
+    [[nodiscard]] bool is_valid_response(HTTP::AnswerHead const&, std::string& problem) const;
+    void forward_stream(BackendAttempt&);
+    void forward_response(BackendAttempt&);
     /// Reads on only as far as the caller keeps up.
-    void hold_back_reading(BackendAttempt&) const;
+    void throttle_reading(BackendAttempt&) const;
     /// Bytes that the caller may leave untaken before its answer is read no further.
     [[nodiscard]] std::size_t caller_window() const;
-    void begin_answer(HTTP::AnswerHead const&);
-    [[nodiscard]] HTTP::FieldList handed_on(HTTP::AnswerHead const&) const;
-    [[nodiscard]] bool must_hide(HTTP::AnswerHead const&) const;
-    void give_whole_answer(BackendAttempt&);
+    void start_response(HTTP::AnswerHead const&);
+    [[nodiscard]] HTTP::FieldList forwarded_fields(HTTP::AnswerHead const&) const;
+    [[nodiscard]] bool must_hide_response(HTTP::AnswerHead const&) const;
+    void send_buffered_response(BackendAttempt&);
     /// Result of an attempt for the estimate of its server's health.
     enum class AttemptResult {
         Success,
@@ -177,12 +177,12 @@
     /// Rejected during a backoff of the current attempt's server, otherwise Failure.
     [[nodiscard]] AttemptResult result_of_error(Core::MonotonicTime now) const;
     /// A backend server began to run the request then. It counts once, by the first server, also where that fails.
-    void note_running(Core::MonotonicTime begun);
+    void count_usage(Core::MonotonicTime started_at);
     /// The server ran the request to its end: it crashes nobody.
-    void note_good_end(Core::MonotonicTime now);
+    void note_completed(Core::MonotonicTime now);
     /// The attempt in hand was sent and brought no whole answer. A plain service may have lost only its answer; of a
     /// stream without an event nobody knows.
-    void note_unanswered();
+    void count_unanswered_attempt();
 
     void drop_unsent_attempt();
     /// How long the attempt's server may be silent before another one is asked.
@@ -191,11 +191,11 @@
     void replace_stalled_attempt(Core::MonotonicTime now);
 
     void handle_caller_gone();
-    void give_up(Core::MonotonicTime now);
+    void fail_deadline(Core::MonotonicTime now);
     /// A final answer of the gateway's own: 503 where nothing ran, else 502 or 504.
     void fail(int status_if_may_have_run, std::string code, std::string message,
         std::optional<Core::Milliseconds> retry_after = std::nullopt);
-    void cut(std::string_view reason);
+    void abort_response(std::string_view reason);
     void finish(Entry::Outcome, int status, std::string_view reason);
     void log_end(Entry::Outcome, int status, std::string_view reason);
 
@@ -205,22 +205,22 @@
     std::shared_ptr<BackendAttempt> m_attempt;
     Choice m_choice;
     /// Servers that it was sent to.
-    std::set<std::string> m_tried;
+    std::set<std::string> m_tried_servers;
     /// Servers that took no connection.
-    std::set<std::string> m_unreached;
+    std::set<std::string> m_unreachable_servers;
     unsigned m_sends {0};
-    unsigned m_unsent {0};
+    unsigned m_failed_connects {0};
     bool m_may_have_run {false};
     /// Whether it is counted as begun.
-    std::shared_ptr<bool> m_is_counted {std::make_shared<bool>(false)};
+    std::shared_ptr<bool> m_is_usage_counted {std::make_shared<bool>(false)};
     bool m_is_over {false};
     std::optional<Core::MonotonicTime> m_held_since;
 
-    bool m_has_begun_answer {false};
-    std::string m_kept_answer;
+    bool m_has_started_response {false};
+    std::string m_buffered_response;
     HTTP::EventFramer m_events;
-    std::optional<Core::MonotonicTime> m_first_event;
-    std::optional<Core::MonotonicTime> m_last_event;
+    std::optional<Core::MonotonicTime> m_first_event_at;
+    std::optional<Core::MonotonicTime> m_last_event_at;
     Core::Milliseconds m_longest_pause {0};
 };
 
--- a/Meta/deliberate-breaks.sh
+++ b/Meta/deliberate-breaks.sh
@@ -25,7 +25,7 @@
     '11|Libraries/LibPolicy/AdmissionQueue.h|s/work.tier > tier/work.tier > 0 * tier/|AdmissionQueueTest|*SuspendsOnly*'
     '12|Libraries/LibEntry/LinkSet.cpp|s/link->set_listed_as_leaving(is_leaving);/link->set_listed_as_leaving(is_leaving \&\& false);/|LeavingTest|*HostList*'
     "13|Libraries/LibGateway/RequestForwarder.cpp|/::drop_unsent_attempt()/,/^}/s/m_attempt->cancel();/static_cast<void>(0);/|AttemptRulesTest|*WhatWasGivenUp*"
-    "14|Libraries/LibGateway/RequestForwarder.cpp|s/m_request.is_repeatable() \&\& can_go_on/can_go_on/|AttemptRulesTest|*WhatMayHaveRun*"
+    "14|Libraries/LibGateway/RequestForwarder.cpp|s/m_request.is_repeatable() \&\& can_continue/can_continue/|AttemptRulesTest|*WhatMayHaveRun*"
     "15|Libraries/LibHTTP/RequestParser.cpp|s/has_bare_line_feed(head)/(has_bare_line_feed(head) \&\& false)/|RequestRulesTest|*BareLineFeed*"
     "16|Libraries/LibGateway/RequestForwarderResponses.cpp|s/if (echoed != m_call.id)/if (echoed != m_call.id \&\& false)/|AttemptRulesTest|*AnotherRequests*"
     "17|Libraries/LibGateway/RequestForwarderResponses.cpp|s/return Status::promises_not_run(head.status) \&\& .*/return head.status < 0;/|AttemptRulesTest|*ARefusalWithoutItsMark*"
@@ -41,7 +41,7 @@
     '27|Libraries/LibPlatform/ObjectClient.cpp|s/list_path(kind, has_names ?/list_path(kind, has_names \&\& false ?/|GatewayProcessTest|*LongList*'
     '28|Libraries/LibGateway/LoadSharing.cpp|s/m_placements_before = std::exchange(m_placements, {});/m_placements.clear();/|LoadExchangeTest|*ToldTwice*'
     '29|Libraries/LibGateway/PlacementPolicy.cpp|s/ + slot_loss(load, server.record().slots);/ + 0 * slot_loss(load, server.record().slots);/|PauseRulesTest|*EnginesSlots*'
-    '30|Libraries/LibGateway/RequestForwarder.cpp|s/any_of(dialect.engine_orders, is_named)/any_of(dialect.engine_orders, [](auto const\&) { return false; })/|RequestRulesTest|*OrdersToEngines*'
+    '30|Libraries/LibGateway/RequestForwarder.cpp|s/any_of(dialect.engine_orders, has_name)/any_of(dialect.engine_orders, [](auto const\&) { return false; })/|RequestRulesTest|*OrdersToEngines*'
     '31|Libraries/LibGateway/RequestForwarder.cpp|s/m_choice.cancel_fetch();/static_cast<void>(0);/|AttemptRulesTest|*AFetchThatFails*'
     '32|Libraries/LibGateway/PlacementPolicy.cpp|s/? s_timeout_loss : 0;/? 0 * s_timeout_loss : 0;/|PauseRulesTest|*DoNotAllWait*'
     '33|Libraries/LibEntry/WatchElection.cpp|s/return now >= doubt_begins();/return now < doubt_begins() \&\& false;/|WatchersTest|*AllOfThemDie*'
