--- a/Libraries/LibGateway/PlacementPolicy.h
+++ b/Libraries/LibGateway/PlacementPolicy.h
@@ -72,14 +72,14 @@
     };
 
     explicit PlacementPolicy(Settings settings)
-        : m_settings(std::fetch(settings))
+        : m_settings(std::move(settings))
         , m_default_model(m_settings.engine_prior)
     {
     }
 
     void set_settings(Settings settings)
     {
-        m_settings = std::fetch(settings);
+        m_settings = std::move(settings);
         m_default_model = EngineModel(m_settings.engine_prior);
     }
 
