--- a/Libraries/LibGateway/BackendFleet.cpp
+++ b/Libraries/LibGateway/BackendFleet.cpp
@@ -266,7 +266,7 @@
     if (parts.empty())
         return;
     // Rendezvous hashing: each engine that comes or goes moves only its own share of the prompts.
-    auto const key = parts.back().chain;
+    auto const key = parts.back().prefix_hash;
     std::ranges::sort(candidates, std::ranges::greater(),
         [key](auto const& item) { return Core::hash_bytes(item.server->record().instance, key); });
     for (std::size_t rank = 0; rank < candidates.size(); ++rank)
--- a/Libraries/LibGateway/EngineModel.cpp
+++ b/Libraries/LibGateway/EngineModel.cpp
@@ -6,25 +6,25 @@
 
 namespace {
 
-/// A shorter reading says too little of an engine's rate, in tokens.
+/// Minimum number of prefilled tokens from which the prefill rate can be estimated.
 constexpr std::uint64_t s_min_measured_tokens = 2'000;
 constexpr double s_newest_rate_weight = 0.1;
 constexpr double s_min_prefill_rate = 1;
 
-/// The part of the pauses beside long readings that lie below the estimate.
+/// Share of the pauses during long prefills that lies below the estimate.
 constexpr double s_pause_quantile = 0.75;
-/// How far the estimate moves with one pause, as a part of itself.
+/// Relative change of the estimate per observed pause.
 constexpr double s_pause_step = 0.05;
-/// The same while little is known.
+/// Relative change until s_initial_pause_count pauses have been observed.
 constexpr double s_initial_pause_step = 0.2;
-/// The estimate stays above this, since it moves by parts of itself.
+/// Minimum estimate in milliseconds; relative steps could not leave zero.
 constexpr EngineModel::Time s_min_pause {1};
-/// Pauses spread little around what the reading beside them makes them: one a sixth below the target exceeds it in
-/// about one case of ten.
+/// Steepness of the distribution of pauses around the estimate. They vary little: if the estimate is a sixth below the
+/// target, about one pause in ten exceeds the target.
 constexpr double s_pause_steepness = 12;
-/// Streams that are late beside a long reading less often than this are left out of account.
+/// Minimum probability of a late stream from which the stream counts as sensitive.
 constexpr double s_min_late_probability = 0.1;
-/// A shorter reading ends between two events.
+/// Minimum number of tokens of a long prefill; a shorter one ends between two events.
 constexpr std::uint64_t s_min_long_prefill = 1'000;
 
 }
@@ -34,7 +34,7 @@
     if (unread_tokens < s_min_measured_tokens || wait.count() <= 0)
         return;
     auto const measured = static_cast<double>(unread_tokens) / static_cast<double>(wait.count());
-    // Most waits hold more than the reading itself, so a faster reading says more than a slower one.
+    // Most times to the first event include other delays, so a faster sample is more reliable than a slower one.
     auto const weight = measured > m_prefill_rate ? s_newest_rate_weight : s_newest_rate_weight / 10;
     m_prefill_rate = std::max(s_min_prefill_rate, m_prefill_rate + (measured - m_prefill_rate) * weight);
 }
@@ -45,7 +45,7 @@
         return;
     auto const step = m_pause_count < s_initial_pause_count ? s_initial_pause_step : s_pause_step;
     m_pause_count = std::min(m_pause_count + 1, s_initial_pause_count);
-    // Steps whose sizes stand in the ratio of the quantile's two sides settle where they cancel out.
+    // With step sizes in this ratio, the estimate converges to the quantile.
     if (pause > m_longest_pause)
         m_longest_pause += m_longest_pause * step * s_pause_quantile;
     else
--- a/Libraries/LibGateway/EngineModel.h
+++ b/Libraries/LibGateway/EngineModel.h
@@ -7,24 +7,25 @@
 
 namespace GraniteField::Gateway {
 
-/// How the engines of a service behave, learned from their answers: how quickly they read prompts, and how long their
-/// streams pause meanwhile. An engine reads a prompt in pieces between the tokens of all others, so that each event
-/// that comes meanwhile waits for several pieces; a reading that ends within them costs a stream only its own length.
+/// Estimates, from the responses of a service's engines, how fast they prefill prompts and how long streams pause
+/// meanwhile. An engine prefills a prompt in chunks between the decoding steps of all other streams, so that each event
+/// of a stream waits for several chunks. A prefill that ends within these chunks delays a stream only by its own
+/// duration.
 class EngineModel {
 public:
     using Time = Policy::FineTime;
 
-    /// Where a reading is taken to last through a whole event, before the streams have told better; in tokens.
+    /// Number of prompt tokens whose prefill is assumed to last through a whole event, until pauses have been observed.
     static constexpr std::uint64_t s_initial_long_prefill = 8'000;
-    /// Pauses that are seen before the estimate moves in its usual small steps.
+    /// Number of observed pauses after which the estimate changes in its usual small steps.
     static constexpr unsigned s_initial_pause_count = 20;
 
-    /// What is taken to hold until answers tell better.
+    /// Values used until responses have been observed.
     struct Prior {
-        /// Prompt tokens that an engine reads in a millisecond.
+        /// Prompt tokens that an engine prefills per millisecond.
         double prefill_rate {30};
-        /// The pause of streams beside a long reading. Guards the streams of a gateway that has just begun and has seen
-        /// no pause yet.
+        /// Pause of streams during a long prefill. Protects the streams of a gateway that has just started and has
+        /// observed no pause.
         Core::Milliseconds longest_pause {250};
     };
 
@@ -34,23 +35,24 @@
     {
     }
 
-    /// An engine gave the first event of a prompt of which it had to read so many tokens.
+    /// Records the time to the first event for a prompt with this number of tokens to prefill.
     void note_first_event(std::uint64_t unread_tokens, Core::Milliseconds wait);
-    /// An event came after that pause, while its engine had so many prompt tokens to read.
+    /// Records a pause between two events while the engine had this number of prompt tokens to prefill.
     void note_pause(Time pause, std::uint64_t unread_tokens);
 
-    /// Prompt tokens read in a millisecond.
+    /// Prompt tokens prefilled per millisecond.
     [[nodiscard]] double prefill_rate() const { return m_prefill_rate; }
     [[nodiscard]] Time prefill_time(double tokens) const { return Time(tokens / m_prefill_rate); }
 
-    /// The pause beside a reading that outlasts an event, which most streams stay below.
+    /// Returns the upper quantile of the pauses during a prefill that lasts longer than an event.
     [[nodiscard]] Time longest_pause() const { return m_longest_pause; }
-    /// Tokens from which a reading is that long.
+    /// Returns the number of tokens from which a prefill causes such a pause.
     [[nodiscard]] std::uint64_t long_prefill() const;
 
-    /// Probability that a stream with this target for pauses is late while the engine has so much to read.
+    /// Returns the probability that a stream with this pause target is late while the engine has this number of tokens
+    /// to prefill.
     [[nodiscard]] double late_probability(Time target, std::uint64_t unread_tokens) const;
-    /// Whether streams with this target are late beside long readings often enough to keep them apart.
+    /// Whether long prefills delay streams with this pause target often enough to keep both on different engines.
     [[nodiscard]] bool is_sensitive(Time target) const;
 
 private:
--- a/Libraries/LibGateway/LoadSharing.cpp
+++ b/Libraries/LibGateway/LoadSharing.cpp
@@ -114,7 +114,7 @@
     placement.set_server(server.id());
     placement.set_own_tokens(own_tokens);
     for (auto const& part : parts.first(std::min<std::size_t>(parts.size(), s_most_parts))) {
-        placement.add_chains(part.chain);
+        placement.add_chains(part.prefix_hash);
         placement.add_tokens(part.tokens);
     }
     m_placements.push_back(std::move(placement));
--- a/Libraries/LibGateway/PlacementPolicy.cpp
+++ b/Libraries/LibGateway/PlacementPolicy.cpp
@@ -7,37 +7,38 @@
 
 namespace {
 
-/// How much of a prompt's shared parts its home is believed to keep where this gateway has not sent it there itself:
-/// other gateways use the same order.
+/// Share of a prompt's shared parts that its home is assumed to have cached without this gateway having sent them:
+/// other gateways prefer the same engine.
 constexpr double s_home_cached_share = 0.5;
-/// Moving a token between engines, as a part of reading it.
+/// Cost of fetching a token from another engine, relative to prefilling it.
 constexpr double s_fetch_cost_share = 0.1;
-/// Less is read again more quickly than it is asked for elsewhere.
+/// Minimum number of tokens to fetch; prefilling fewer is faster than fetching them.
 constexpr double s_min_fetched_tokens = 500;
-/// A new copy of a prompt's shared parts puts out what other prompts will ask for, which is then read again. So much of
-/// its reading counts as lost, the more the further down the engine stands in the prompt's order: that order is the
-/// same at all gateways, so that a prompt whose home is busy has copies at two or three engines and not at all.
+/// Share of the prefill of a new copy of a prompt's shared parts that counts as lost, since the copy evicts parts that
+/// other prompts need and that are then prefilled again. Grows with the engine's rank in the prompt's preference order.
+/// All gateways use the same order, so that a prompt whose home is busy has copies on two or three engines instead of
+/// all.
 constexpr double s_copy_cost_share = 0.15;
-/// Engines further down count alike.
+/// Rank from which on the copy cost no longer grows.
 constexpr std::size_t s_max_counted_rank = 4;
-/// Stands for the head of a request where its bytes count.
+/// Assumed size of a request head in bytes, for the cost of a transfer.
 constexpr std::size_t s_assumed_head_bytes = 1'000;
-/// Stands for the latency of a plain server that has not answered yet.
+/// Minimum latency in milliseconds; used for a plain server that has not responded yet.
 constexpr Policy::FineTime s_min_latency {1};
-/// Callers give up a stream that has been silent for so many of its targets.
+/// Number of targets for the first token after which callers abandon a silent stream.
 constexpr int s_timeout_in_targets = 4;
-/// Long readings that a stream meets in its life at an engine that is always reading.
+/// Number of long prefills that a stream meets in its lifetime on an engine that is always prefilling.
 constexpr double s_prefills_per_stream = 3;
-/// However many streams a reading makes late, it counts for no more than these: streams of other engines are late too
-/// where prompts have nowhere to go.
+/// Upper limit for the loss by delayed streams, in streams: if prompts find no other engine, streams on other engines
+/// are late as well.
 constexpr double s_max_harm = 3;
-/// Added where the caller will have left before its first piece, so that such a wait is never chosen while an engine
-/// could answer in time. Guards against sending all long prompts to the one engine without streams.
+/// Loss added if the caller will have left before the first token, so that such a placement is never preferred to one
+/// in time. Otherwise all long prompts gather on the one engine without streams.
 constexpr double s_timeout_loss = 10;
-/// What a gateway knows of an engine's open requests is a few tenths of a second old, so that an engine counts as full
-/// before it is. Guards against streams that gather until the slots are taken, and put each other back.
+/// Steepness of the loss near the slot limit. The known number of open requests is some tenths of a second old, so an
+/// engine counts as full before it is. Otherwise streams gather until the slots are taken and preempt each other.
 constexpr double s_slot_steepness = 8;
-/// What a stream loses that is late by a pause.
+/// Loss of a stream that misses its pause target.
 constexpr double s_late_stream_loss = 1 - Policy::LatenessLoss::s_late_worth;
 
 std::uint32_t token_count(std::span<PromptPart const> parts)
@@ -48,15 +49,15 @@
     return tokens;
 }
 
-/// Tokens of the prompt's beginning that the candidate is believed to keep.
+/// Returns the estimated number of cached tokens at the start of the prompt.
 double estimated_cached_tokens(Candidate const& candidate, RoutedRequest const& request, double shared_tokens)
 {
     double const tracked = candidate.server->prefixes().cached_tokens(request.prompt);
     return candidate.rank == 0 ? std::max(tracked, s_home_cached_share * shared_tokens) : tracked;
 }
 
-/// Probability that one more request finds no slot at the engine: it waits for one, or puts back a less urgent request,
-/// whose prompt is then read again.
+/// Returns the probability that one more request finds no free slot. It would wait, or preempt a less urgent request
+/// whose prompt is then prefilled again.
 double slot_loss(ServerLoad const& load, unsigned slots)
 {
     if (slots == 0)
@@ -159,9 +160,9 @@
     auto const load = server.load();
     if (load.pause_sensitive == 0)
         return 0;
-    // A reading meets new streams all the while it lasts, so that each of a row of readings counts as if it were the
-    // first. Counted by what they add, the later ones would cost nothing, and engines with streams draw all readings as
-    // soon as they have one.
+    // A prefill delays new streams for as long as it lasts, so each prefill in a queue counts like the first. If later
+    // prefills counted only what they add, they would cost nothing, and an engine with streams would attract all
+    // prefills after its first.
     auto const& model = *profile.model;
     auto const fraction = std::min(1.0, static_cast<double>(unread_tokens) / static_cast<double>(model.long_prefill()));
     return fraction * load.pause_sensitive
--- a/Libraries/LibGateway/PlacementPolicy.h
+++ b/Libraries/LibGateway/PlacementPolicy.h
@@ -16,23 +16,23 @@
 
 namespace GraniteField::Gateway {
 
-/// Why a backend server was chosen; for the log.
+/// The chosen backend server, with the estimates behind the choice for the log.
 struct Choice {
     std::shared_ptr<BackendView> server;
-    /// The engine from which it fetches what it lacks of the prompt's beginning; null for none.
+    /// The engine from which missing parts of the prompt are fetched; null for none.
     std::shared_ptr<BackendView> source;
-    /// Prompt tokens that it is believed to read for this request, and to fetch.
+    /// Estimated numbers of prompt tokens to prefill and to fetch from the source.
     std::uint32_t unread_tokens {0};
     std::uint32_t moved_tokens {0};
-    /// Time until the first piece of the answer, as predicted.
+    /// Predicted time to the first token.
     Core::Milliseconds predicted_wait {0};
-    /// What the placement is expected to cost, as a share of one request's worth.
+    /// Expected loss of the placement, as a share of the value of one request.
     double expected_loss {0};
-    /// Whether a long prompt's reading beside it makes it late.
+    /// Whether a long prefill on the same engine makes this stream miss its pause target.
     bool is_pause_sensitive {false};
     std::size_t candidates {0};
 
-    /// Lets the engine read what it would have fetched.
+    /// Makes the engine prefill the tokens that it would have fetched.
     void cancel_fetch()
     {
         unread_tokens += std::exchange(moved_tokens, 0);
@@ -40,34 +40,35 @@
     }
 };
 
-/// A backend server that may take the request.
+/// A backend server that is eligible for the request.
 struct Candidate {
     std::shared_ptr<BackendView> server;
-    /// Place in the prompt's own order of the service's engines; 0 is its home.
+    /// Position in the prompt's preference order of the service's engines; 0 is its home.
     std::size_t rank {0};
     /// Whether other engines may fetch prompts from it.
     bool is_source {true};
 };
 
-/// Weighs backend servers against each other by one measure: the expected loss of worth, of the request itself and of
-/// those that it disturbs. It learns how engines behave from their answers. On the gateway's thread only.
+/// Compares backend servers by the expected loss of value, for the request itself and for the requests that it delays.
+/// Estimates the behaviour of engines from their responses. Used on the gateway's thread only.
 class PlacementPolicy {
 public:
     struct Settings {
-        /// Where this gateway stands; servers there are preferred among equals.
+        /// Failure domain of this gateway; its servers are preferred among otherwise equal ones.
         std::string failure_domain;
-        /// The region of each failure domain.
+        /// Region of each failure domain.
         std::map<std::string, std::string> regions;
-        /// Of this gateway alone; spreads when gateways try a suspected server again.
+        /// Differs between gateways, to spread the times at which they try a suspected server again.
         std::uint64_t seed {0};
-        /// How engines are taken to behave until their answers tell better.
+        /// Behaviour assumed of engines until responses have been observed.
         EngineModel::Prior engine_prior;
-        /// What each request that runs at an engine adds to the next one's first token.
+        /// Delay that each running request adds to the first token of the next request at an engine.
         Core::Milliseconds cost_per_running {4};
-        /// Loss to others of keeping an engine reading for as long as the request's target for its first piece. It
-        /// keeps prompts where their shared parts are.
+        /// Loss to other requests while an engine prefills for as long as the target for the first token. Keeps prompts
+        /// at the engines that have cached their shared parts.
         double reading_weight {8};
-        /// Loss of sending a megabyte of body to another failure domain; small, so that it decides among equals only.
+        /// Loss of sending a megabyte of body to another failure domain; small, so that it only decides between
+        /// otherwise equal servers.
         double domain_change_weight {0.3};
     };
 
@@ -83,45 +84,45 @@
         m_default_model = EngineModel(m_settings.engine_prior);
     }
 
-    /// Pause targets by service.
+    /// Reads the pause targets of each service.
     void apply_table(Table::Table const&);
 
-    /// The best of the candidates; no server when there is none.
+    /// Returns the best candidate; no server if there is none.
     [[nodiscard]] Choice choose(std::vector<Candidate> const&, RoutedRequest const&, Core::MonotonicTime now) const;
 
-    /// How the engines of a service behave; learns from their answers.
+    /// Returns the model of a service's engines, to be updated with observed responses.
     [[nodiscard]] EngineModel& engine_model(std::string const& service);
 
 private:
     using Time = Policy::FineTime;
 
-    /// What a request asks of any candidate.
+    /// Properties of a request that are the same for all candidates.
     struct RequestProfile {
         std::uint32_t prompt_tokens {0};
         Policy::LatenessLoss lateness;
         EngineModel const* model {nullptr};
         Time pause_target {0};
         bool is_pause_sensitive {false};
-        /// The tightest pause target of those who use the service.
+        /// Tightest pause target of the classes that use the service.
         Time tightest_pause_target {0};
     };
 
-    /// Where the most of a prompt's beginning is believed to be kept.
+    /// The candidate with the largest estimated cached prefix of the prompt.
     struct PrefixHolder {
         std::shared_ptr<BackendView> server;
         double tokens {0};
     };
 
-    /// What the candidates are believed to keep of a prompt.
+    /// Estimated cached prefixes of the prompt.
     struct CacheEstimate {
-        /// Tokens of its beginning, for each candidate.
+        /// Number of cached prefix tokens for each candidate.
         std::vector<double> cached_tokens;
         PrefixHolder holder;
-        /// Tokens that other prompts share.
+        /// Number of tokens that other prompts share.
         double shared_tokens {0};
     };
 
-    /// What a request would meet at a candidate.
+    /// Estimated effect of placing the request at a candidate.
     struct Estimate {
         Time wait {0};
         double loss {0};
@@ -135,17 +136,18 @@
     [[nodiscard]] static CacheEstimate estimate_cache(std::vector<Candidate> const&, RoutedRequest const&);
     [[nodiscard]] Estimate estimate_engine(
         BackendView const&, double cached_tokens, double cached_elsewhere, RequestProfile const&) const;
-    /// What other prompts lose by a new copy of this one's shared parts there.
+    /// Returns the loss to other prompts when this prompt's shared parts are copied to the candidate.
     [[nodiscard]] double copy_loss(
         Candidate const&, CacheEstimate const&, std::size_t index, RequestProfile const&) const;
     [[nodiscard]] double domain_loss(BackendView const&, RoutedRequest const&) const;
-    /// Probability that the request's own stream is late by a pause there.
+    /// Returns the probability that the request's own stream misses its pause target there, weighted by the loss.
     [[nodiscard]] static double own_pause_loss(BackendView const&, RequestProfile const&);
-    /// Streams there that reading so much more makes late, those that come meanwhile included.
+    /// Returns the expected number of streams that a prefill of this size makes late, including streams that arrive
+    /// meanwhile.
     [[nodiscard]] static double delayed_streams(BackendView const&, std::uint32_t unread_tokens, RequestProfile const&);
 
     Settings m_settings;
-    /// Of services whose engines have not answered yet.
+    /// For services whose engines have not responded yet.
     EngineModel m_default_model;
     std::map<std::string, EngineModel> m_models;
     std::map<std::string, Time> m_tightest_pause_targets;
--- a/Libraries/LibGateway/PrefixCacheModel.h
+++ b/Libraries/LibGateway/PrefixCacheModel.h
@@ -12,39 +12,39 @@
 
 namespace GraniteField::Gateway {
 
-/// What this gateway believes an engine to keep of the prompts that it sent there: parts in the order of their last
-/// use, the oldest forgotten when they exceed the engine's memory. An engine keeps more or less than this, since
-/// other gateways use it too; a wrong belief costs time and never a promise.
+/// Estimates which prompt prefixes an engine has cached: parts of the prompts sent there, in order of their last use,
+/// evicting the oldest beyond the engine's capacity. The actual cache differs, since other gateways send prompts as
+/// well. A wrong estimate costs time but breaks no guarantee.
 class PrefixCacheModel {
 public:
-    /// Used where the engine's memory is not known.
+    /// Capacity in tokens if the engine's capacity is unknown.
     static constexpr std::uint64_t s_default_capacity = 200'000;
-    /// Parts remembered for one engine.
+    /// Maximum number of parts recorded for one engine.
     static constexpr std::size_t s_max_parts = 4'096;
 
-    /// Tokens that an engine's memory holds; 0 if not known.
+    /// Sets the number of tokens that the engine's cache holds; 0 if unknown.
     void set_capacity(std::uint64_t tokens) { m_capacity = tokens == 0 ? s_default_capacity : tokens; }
 
-    /// Tokens at the prompt's beginning that are believed to be kept.
+    /// Returns the number of tokens at the start of the prompt that are estimated to be cached.
     [[nodiscard]] std::uint32_t cached_tokens(std::span<PromptPart const> prompt) const
     {
         std::uint32_t tokens = 0;
         for (auto const& part : prompt) {
-            if (!m_entries.contains(part.chain))
+            if (!m_entries.contains(part.prefix_hash))
                 break;
             tokens += part.tokens;
         }
         return tokens;
     }
 
-    /// The engine reads this prompt, and tokens behind it that no other prompt shares: they take memory as well, and
-    /// put out shared parts that would else be believed to be there.
+    /// Records that the engine prefills this prompt, followed by `own_tokens` that no other prompt shares. These take
+    /// up capacity as well and evict shared parts, which would otherwise be overestimated.
     void note_prefill(std::span<PromptPart const> prompt, std::uint32_t own_tokens = 0)
     {
         if (own_tokens > 0)
             insert({++m_last_anonymous_id, own_tokens});
         for (auto const& part : prompt) {
-            auto const entry = m_entries.find(part.chain);
+            auto const entry = m_entries.find(part.prefix_hash);
             if (entry != m_entries.end()) {
                 m_recently_used.splice(m_recently_used.begin(), m_recently_used, entry->second);
                 continue;
@@ -53,7 +53,7 @@
         }
         while (!m_recently_used.empty() && (m_tokens > m_capacity || m_recently_used.size() > s_max_parts)) {
             m_tokens -= m_recently_used.back().tokens;
-            m_entries.erase(m_recently_used.back().chain);
+            m_entries.erase(m_recently_used.back().prefix_hash);
             m_recently_used.pop_back();
         }
     }
@@ -62,11 +62,11 @@
     void insert(PromptPart const& part)
     {
         m_recently_used.push_front(part);
-        m_entries.emplace(part.chain, m_recently_used.begin());
+        m_entries.emplace(part.prefix_hash, m_recently_used.begin());
         m_tokens += part.tokens;
     }
 
-    /// Stands for what has no name; prompts' parts have hashes, which are never so small.
+    /// Id for parts without a hash; hashes of prompt parts are never that small.
     std::uint64_t m_last_anonymous_id {0};
     std::uint64_t m_capacity {s_default_capacity};
     std::uint64_t m_tokens {0};
--- a/Libraries/LibGateway/RoutedRequest.cpp
+++ b/Libraries/LibGateway/RoutedRequest.cpp
@@ -13,9 +13,9 @@
 using Entry::Outcome;
 
 constexpr Core::Milliseconds s_retry_after_without_table {500};
-/// Ranks of priority that engines know, from 0, the most urgent.
+/// Number of engine priorities; 0 is the most urgent.
 constexpr unsigned s_engine_priority_count = 10;
-/// Parts of a prompt that are looked at; what comes behind them is read anew.
+/// Number of prompt parts that are evaluated; engines are assumed to prefill all further parts.
 constexpr std::size_t s_max_prompt_parts = 64;
 
 ErrorAnswer refusal(int status, std::string code, std::string message, Core::Milliseconds retry_after = {})
@@ -33,7 +33,7 @@
     return value;
 }
 
-/// The `Host` field without its port, in lower case.
+/// Returns the `Host` field without its port, in lower case.
 std::string host_of(HTTP::RequestHead const& head)
 {
     auto const host = head.fields.value_or("Host", "");
@@ -47,7 +47,7 @@
     std::string_view key = request.head.fields.value_or("Authorization", "");
     constexpr std::string_view scheme = "Bearer ";
     if (!Core::starts_with_ignoring_case(key, scheme))
-        return refusal(401, "missing_key", "the header Authorization must be 'Bearer <key>'");
+        return refusal(401, "missing_key", "the Authorization header must be 'Bearer <key>'");
     key.remove_prefix(scheme.size());
     auto const* workspace = request.table->find_workspace_by_key_hash(Core::sha256_hex(Core::trim(key)));
     if (workspace == nullptr)
@@ -58,7 +58,7 @@
     return std::nullopt;
 }
 
-/// Draws a service by the weights. The request's id is random enough, and makes the draw repeatable.
+/// Returns a service chosen at random by weight. Uses a hash of the request's id, so that the choice is reproducible.
 std::string pick_service(Table::Route const& route, std::string const& id)
 {
     std::uint64_t total = 0;
@@ -75,8 +75,8 @@
     return route.targets.back().service;
 }
 
-/// The engines know ten ranks. The tiers that the table uses are spread over them, and what is left between two tiers
-/// tells classes of one tier apart by their own tier: a workspace's tier goes first.
+/// Returns the engine priority. The tiers in use are spread over the engine's priorities. The priorities between two
+/// tiers separate classes by the class's own tier, so that a workspace's tier takes precedence.
 unsigned engine_priority(RoutedRequest const& request)
 {
     auto const lowest = request.table->lowest_tier_in_use();
@@ -103,7 +103,7 @@
     if (comma != std::string_view::npos)
         request.max_output_tokens = static_cast<std::uint32_t>(parse_number(counts.substr(comma + 1)).value_or(0));
     auto parts = request.head.fields.value_or(dialect.prompt_parts, "");
-    std::uint64_t chain = Core::hash_bytes(request.service);
+    std::uint64_t prefix_hash = Core::hash_bytes(request.service);
     while (!parts.empty() && request.prompt.size() < s_max_prompt_parts) {
         auto const end = parts.find(',');
         auto const part = parts.substr(0, end);
@@ -111,9 +111,9 @@
         auto const colon = part.find(':');
         if (colon == std::string_view::npos)
             return;
-        chain = Core::hash_bytes(part.substr(0, colon), chain);
+        prefix_hash = Core::hash_bytes(part.substr(0, colon), prefix_hash);
         auto const tokens = parse_number(part.substr(colon + 1)).value_or(0);
-        request.prompt.push_back({chain, static_cast<std::uint32_t>(tokens)});
+        request.prompt.push_back({prefix_hash, static_cast<std::uint32_t>(tokens)});
     }
 }
 
@@ -132,7 +132,7 @@
 
 std::optional<Core::Milliseconds> caller_timeout(HTTP::RequestHead const& head, Dialect const& dialect)
 {
-    // A fraction of a millisecond says nothing here.
+    // Fractions of a millisecond are ignored.
     auto const text = head.fields.value_or(dialect.remaining_time, "");
     auto const remaining = parse_number(text.substr(0, text.find('.')));
     if (!remaining)
@@ -152,7 +152,7 @@
     auto const path = std::string_view(head.target).substr(0, head.target.find('?'));
     request.route = request.table->find_route(host_of(head), path);
     if (request.route == nullptr)
-        return refusal(404, "unknown_route", "no route has this host and path");
+        return refusal(404, "unknown_route", "no route matches this host and path");
     request.request_class = request.table->find_class(request.route->request_class);
     request.tier = request.request_class->tier;
     request.head = std::move(head);
--- a/Libraries/LibGateway/RoutedRequest.h
+++ b/Libraries/LibGateway/RoutedRequest.h
@@ -17,14 +17,14 @@
 
 namespace GraniteField::Gateway {
 
-/// A part of a prompt. Engines keep what they have read of a part when they kept all parts before it.
+/// One part of a prompt. An engine can reuse a cached part only if all parts before it are cached as well.
 struct PromptPart {
-    /// Hash of this part's id and of all before it, so that equal values mean equal beginnings.
-    std::uint64_t chain {0};
+    /// Hash of the ids of this part and of all parts before it; equal values mean equal prefixes.
+    std::uint64_t prefix_hash {0};
     std::uint32_t tokens {0};
 };
 
-/// A caller's request with the rows of the table that hold for it.
+/// A caller's request with the table rows that apply to it.
 struct RoutedRequest {
     /// As the caller sent it; may be empty.
     std::string id;
@@ -35,25 +35,25 @@
     std::shared_ptr<Table::Table const> table;
     Table::Route const* route {nullptr};
     Table::RequestClass const* request_class {nullptr};
-    /// Empty where the route needs no key.
+    /// Empty if the route needs no key.
     std::string workspace;
     std::string service;
     unsigned tier {Table::s_lowest_tier};
-    /// Rank at the engine, from 0: by the tier, and among equal ones by the class's own.
+    /// Priority at the engine, 0 being the most urgent: by tier, then by the tier of the request class.
     unsigned priority {0};
 
     Core::MonotonicTime received;
-    /// By then the caller has a final answer.
+    /// Time by which the caller must have its final response.
     Core::MonotonicTime deadline;
-    /// By then the caller is gone; unset when it did not say.
+    /// Time at which the caller stops waiting; unset if the request does not state it.
     std::optional<Core::MonotonicTime> caller_deadline;
 
     std::vector<PromptPart> prompt;
     std::uint32_t prompt_tokens {0};
     std::uint32_t max_output_tokens {0};
 
-    /// What makes it the same request as one that came before. Drawn when it is first asked for, which most requests
-    /// never are.
+    /// Returns a digest that is equal for repetitions of the same request. Computed on demand, since most requests
+    /// never need it.
     [[nodiscard]] Core::RequestDigest const& digest() const
     {
         if (!cached_digest)
@@ -63,7 +63,7 @@
     mutable std::optional<Core::RequestDigest> cached_digest;
 
     [[nodiscard]] bool is_stream() const { return route->answer == Table::AnswerKind::EventStream; }
-    /// Whether it may run again after it may have run.
+    /// Whether the request may be sent again after it may have run.
     [[nodiscard]] bool is_repeatable() const
     {
         if (is_stream())
@@ -72,16 +72,18 @@
     }
 };
 
-/// The parts of the prompt that other requests share: all but the last, which belongs to the request or its session.
+/// Returns the parts of the prompt that other requests share: all but the last, which belongs to the request or its
+/// session.
 [[nodiscard]] std::span<PromptPart const> shared_parts(RoutedRequest const&);
 
-/// Tokens of the last part.
+/// Returns the number of tokens in the last part.
 [[nodiscard]] std::uint32_t own_tokens(RoutedRequest const&);
 
-/// How long the caller waits in all, as it says; nothing where it does not say.
+/// Returns the total time that the caller waits, or nullopt if the request does not state it.
 [[nodiscard]] std::optional<Core::Milliseconds> caller_timeout(HTTP::RequestHead const&, Dialect const&);
 
-/// Binds a request to the table, or gives the answer that refuses it. `table` is null before the first one.
+/// Returns the request with its table rows, or the error response that rejects it. `table` is null before the first
+/// table arrives.
 [[nodiscard]] std::variant<RoutedRequest, Entry::ErrorAnswer> route_request(HTTP::RequestHead, std::string body,
     std::shared_ptr<Table::Table const> table, Dialect const&, Core::MonotonicTime received);
 
--- a/Tests/LibGateway/EngineSimulation.h
+++ b/Tests/LibGateway/EngineSimulation.h
@@ -74,7 +74,7 @@
     [[nodiscard]] std::uint64_t tokens_read() const { return m_tokens_read; }
     [[nodiscard]] bool keeps(PromptPart const& part) const
     {
-        return std::ranges::find(m_kept, part.chain, &PromptPart::chain) != m_kept.end();
+        return std::ranges::find(m_kept, part.prefix_hash, &PromptPart::prefix_hash) != m_kept.end();
     }
     [[nodiscard]] std::size_t open() const { return m_running.size() + m_waiting.size(); }
 
@@ -118,7 +118,7 @@
     /// Uses a shared part; says how much of it has to be read.
     std::uint32_t keep(PromptPart const& part, EngineSimulation const* source)
     {
-        auto const found = std::ranges::find(m_kept, part.chain, &PromptPart::chain);
+        auto const found = std::ranges::find(m_kept, part.prefix_hash, &PromptPart::prefix_hash);
         bool const is_fetched = source != nullptr && source->keeps(part);
         std::uint32_t unread = 0;
         if (found != m_kept.end()) {
--- a/Tests/LibGateway/GatewayPropertiesTest.cpp
+++ b/Tests/LibGateway/GatewayPropertiesTest.cpp
@@ -195,8 +195,8 @@
         model.note_prefill(prompt);
     }
     std::uint32_t kept = 0;
-    for (std::uint64_t chain = 0; chain < 30; ++chain)
-        kept += model.cached_tokens(std::vector<PromptPart> {{chain, 100}});
+    for (std::uint64_t prefix_hash = 0; prefix_hash < 30; ++prefix_hash)
+        kept += model.cached_tokens(std::vector<PromptPart> {{prefix_hash, 100}});
     RC_ASSERT(kept <= 1'000U);
 }
 
