--- a/Libraries/LibGateway/RequestForwarder.cpp
+++ b/Libraries/LibGateway/RequestForwarder.cpp
@@ -50,11 +50,11 @@
 {
     if (now >= m_request.deadline)
         return fail_deadline(now);
-    // Every way to a server leads through here: the first send, a repeat, a stream that goes on, one that has stalled.
+    // Checked before each dispatch: first attempts, retries, resumed streams and stalled requests.
     if (is_quarantined(now))
         return reject_quarantined();
-    // Looked at again with the next tick.
-    if (is_in_doubt(now))
+    // Decided at a later tick.
+    if (is_quarantine_pending(now))
         return;
     auto const choice = choose_server(now);
     if (!choice.server)
@@ -63,8 +63,8 @@
     if (auto const rejection = check_admission(choice, now)) {
         m_choice = choice;
         log_rejection(*rejection);
-        return fail(
-            Status::s_bad_gateway, "engines_full", "no engine is expected to begin in time", rejection->retry_after);
+        return fail(Status::s_bad_gateway, "engines_full", "no engine is expected to start the request in time",
+            rejection->retry_after);
     }
     send_to(choice, now);
 }
@@ -75,7 +75,7 @@
     return ledger.count_quarantined() > 0 && ledger.is_quarantined(m_request.digest(), now);
 }
 
-bool RequestForwarder::is_in_doubt(Core::MonotonicTime now) const
+bool RequestForwarder::is_quarantine_pending(Core::MonotonicTime now) const
 {
     auto const& ledger = m_context.crashes.ledger();
     return !ledger.is_empty() && ledger.is_in_doubt(m_request.digest(), now);
@@ -87,9 +87,9 @@
     drop_unsent_attempt();
     if (m_has_started_response)
         return abort_response("quarantined");
-    // It has run, if not under this id, so that nothing may say that it has not, or invite it to come again.
+    // The request may have run under another id, so the response must not claim otherwise or invite a retry.
     m_may_have_run = true;
-    fail(Status::s_bad_gateway, "quarantined", "this request has crashed the servers that began it");
+    fail(Status::s_bad_gateway, "quarantined", "this request has crashed the backend servers that ran it");
 }
 
 bool RequestForwarder::has_long_running_attempt(Core::MonotonicTime now) const
@@ -110,8 +110,8 @@
     auto const& ledger = m_context.crashes.ledger();
     auto const excluded = excluded_servers();
     if (!ledger.is_empty()) {
-        // A host that crashes whatever it gets is so told from a request that crashes whatever gets it, and the request
-        // is not held for the host's fault.
+        // Sending the request to another place tells a host that crashes on any request from a request that crashes any
+        // host, and does not delay the request for a fault of the host.
         auto excluded_with_crash_places = excluded;
         m_context.fleet.add_servers_at(ledger.places_crashed(m_request.digest()), excluded_with_crash_places);
         if (excluded_with_crash_places.size() > excluded.size()) {
@@ -125,8 +125,8 @@
 
 std::optional<Policy::Rejection> RequestForwarder::check_admission(Choice const& choice, Core::MonotonicTime now)
 {
-    // What was taken once goes on: a fault is no reason to refuse it.
-    bool const is_first_attempt = m_sends == 0 && m_failed_connects == 0;
+    // Admission applies to new requests only: an admitted request is not rejected because an attempt failed.
+    bool const is_first_attempt = m_send_count == 0 && m_failed_connects == 0;
     if (!is_first_attempt || !m_request.is_stream() || m_request.prompt.empty())
         return std::nullopt;
     Policy::AdmissionQuestion const question {m_request.service, m_request.request_class->name, m_request.priority,
@@ -169,18 +169,18 @@
 
 void RequestForwarder::hold(Core::MonotonicTime now)
 {
-    // What does not change by itself is not waited for.
+    // Regions and drains do not change while a request waits, so waiting would be in vain.
     switch (m_context.fleet.unavailability(m_request)) {
     case Unavailability::Regions:
-        return fail(Status::s_bad_gateway, "region", "it is allowed in no region that has servers");
+        return fail(Status::s_bad_gateway, "region", "no region that may serve this request has backend servers");
     case Unavailability::Drains:
-        return fail(Status::s_bad_gateway, "drained", "the failure domains that could serve it are drained");
+        return fail(Status::s_bad_gateway, "drained", "all failure domains that could serve this request are drained");
     case Unavailability::Servers:
         break;
     }
-    // One that was sent already has had its try: another server is not waited for.
+    // A request that was sent before does not wait for another server.
     bool const has_been_sent = !m_tried_servers.empty();
-    // Those that took no connection may do so by now.
+    // Servers that did not accept a connection may do so at the next dispatch.
     m_unreachable_servers.clear();
     if (!m_held_since)
         m_held_since = now;
@@ -191,9 +191,9 @@
     if (!has_been_sent && !opens_too_late && Core::elapsed(*m_held_since, now) < limit)
         return;
     if (opening)
-        return fail(Status::s_bad_gateway, "servers_limited", "no backend server accepts it before that time",
+        return fail(Status::s_bad_gateway, "servers_limited", "no backend server accepts requests before that time",
             retry_delay(*opening, now));
-    fail(Status::s_bad_gateway, "no_backend_server", "no backend server of the service can be reached");
+    fail(Status::s_bad_gateway, "no_backend_server", "no backend server of the service is reachable");
 }
 
 Core::Milliseconds RequestForwarder::retry_delay(Opening const& opening, Core::MonotonicTime now) const
@@ -204,8 +204,8 @@
 void RequestForwarder::send_to(Choice const& choice, Core::MonotonicTime now)
 {
     m_choice = choice;
-    // What broke the first try off may be the engine that it was to fetch from: the next one rests on no other engine.
-    if (m_sends > 0)
+    // The first attempt may have failed because of the engine to fetch from, so a retry uses no other engine.
+    if (m_send_count > 0)
         m_choice.cancel_fetch();
     auto const rule = m_request.head.method == "HEAD" ? HTTP::BodyRule::None : HTTP::BodyRule::Normal;
     m_attempt = std::make_shared<BackendAttempt>(m_context.loop, m_choice.server, rule, *this);
@@ -223,7 +223,7 @@
                             .add("workspace", m_request.workspace)
                             .add("tier", m_request.tier)
                             .add("priority", m_request.priority)
-                            .add("send", m_sends + 1)
+                            .add("send", m_send_count + 1)
                             .add("candidates", m_choice.candidates)
                             .add("predicted_wait_ms", m_choice.predicted_wait)
                             .add("unread_tokens", m_choice.unread_tokens)
@@ -235,18 +235,18 @@
                             .add("sensitive_streams", m_choice.server->load().pause_sensitive)
                             .add("remaining_ms", Core::elapsed(now, m_request.deadline))
                             .add("table", m_request.table->version().value()),
-        m_sends == 0 ? Observe::LogWeight::Ordinary : Observe::LogWeight::Notable);
+        m_send_count == 0 ? Observe::LogWeight::Ordinary : Observe::LogWeight::Notable);
 }
 
 std::string RequestForwarder::serialize_request(BackendView const& server, Core::MonotonicTime now) const
 {
     auto const& dialect = m_context.dialect;
     auto const& head = m_request.head;
-    // What the gateway sets itself, and the key, which no backend server may see.
+    // Fields that the gateway sets itself, and the caller's key, which must not reach a backend server.
     std::array<std::string_view, 7> const replaced_fields {"Authorization", "Content-Length", "Expect",
         dialect.remaining_time, dialect.expected_instance, dialect.workspace, dialect.priority};
-    // An engine answers an order that rests on a lease or copy that it does not have with a refusal, and callers may
-    // set such fields.
+    // Callers must not control engines: an engine rejects a request that refers to a lease or copy that it does not
+    // have.
     auto const is_dropped = [&](std::string_view field) {
         auto const has_name = [field](std::string_view name) { return HTTP::is_same_name(name, field); };
         return std::ranges::any_of(replaced_fields, has_name) || std::ranges::any_of(dialect.engine_orders, has_name);
@@ -303,9 +303,10 @@
     case AttemptResult::Rejected:
         break;
     }
-    ++m_sends;
+    ++m_send_count;
     attempt->cancel();
-    // The caller of this function may still read the attempt's answer.
+    // Keeps the attempt alive until the current call returns, since the caller of this function may still read its
+    // response.
     boost::asio::post(m_context.loop, [attempt] {});
 }
 
@@ -340,7 +341,7 @@
                             .add("server", m_choice.server->record().instance)
                             .add("reason", reason));
     if (++m_failed_connects >= m_context.settings.max_connects)
-        return fail(Status::s_bad_gateway, "unreachable", "no backend server took the connection");
+        return fail(Status::s_bad_gateway, "unreachable", "no backend server accepted a connection");
     dispatch(now);
 }
 
@@ -356,11 +357,11 @@
                             .add("status", status)
                             .add("retry_after", retry_after));
     if (may_retry(now))
-        return retry("the backend server did not run it", now);
+        return retry("the backend server did not run the request", now);
     if (m_has_started_response)
-        return abort_response("the stream was not taken up");
+        return abort_response("no backend server resumed the stream");
     auto const opening = m_context.fleet.next_opening(m_request, now);
-    fail(Status::s_bad_gateway, "refused", "the backend server did not take the request",
+    fail(Status::s_bad_gateway, "refused", "the backend server did not accept the request",
         opening ? std::optional(retry_delay(*opening, now)) : std::nullopt);
 }
 
@@ -381,7 +382,7 @@
             .add("request", m_request.id)
             .add("server", m_choice.server->record().instance)
             .add("digest", m_request.digest().to_string())
-            .add("send", m_sends)
+            .add("send", m_send_count)
             .add("has_begun", m_has_started_response)
             .add("sent_ms_ago", Core::elapsed(sent, now))
             .add("head_ms_ago", head_received_at ? Core::elapsed(*head_received_at, now) : Core::Milliseconds(-1))
@@ -394,13 +395,13 @@
     }
     if (m_has_started_response)
         return abort_response(reason);
-    fail(Status::s_bad_gateway, "broken", "the backend server broke off its answer");
+    fail(Status::s_bad_gateway, "broken", "the response of the backend server was incomplete or invalid");
 }
 
 Policy::Exposure RequestForwarder::exposure(Core::MonotonicTime now) const
 {
     auto const head_received_at = m_attempt->head_received_at();
-    // An answer that is no stream begins when it ends, so that the send stands for the beginning.
+    // A non-streaming response arrives only at the end of the run, so the send counts as its start.
     auto const started_at = head_received_at || m_request.is_stream() ? head_received_at : m_attempt->started_at();
     bool const has_just_started
         = started_at && Core::elapsed(*started_at, now) <= m_context.settings.recent_start_limit;
@@ -409,11 +410,12 @@
 
 bool RequestForwarder::may_retry(Core::MonotonicTime now)
 {
-    // The attempt in hand is counted when it ends.
-    auto const sends = m_sends + (m_attempt ? 1 : 0);
+    // The current attempt is added to m_send_count when it ends.
+    auto const sends = m_send_count + (m_attempt ? 1 : 0);
     if (sends >= m_request.route->tries || now >= m_request.deadline)
         return false;
-    // The repeats of one that crashes servers would use up what those need that died beside it.
+    // Retries of a request that crashes servers would exhaust the retry budget for other requests that ran on the same
+    // servers.
     auto const& ledger = m_context.crashes.ledger();
     if (!ledger.is_empty() && ledger.moments_of(m_request.digest()) >= m_context.settings.max_crash_moments_for_retry)
         return false;
@@ -429,7 +431,7 @@
     m_context.log.write(Observe::LogEvent("retry")
                             .add("request", m_request.id)
                             .add("why", why)
-                            .add("sends", m_sends)
+                            .add("sends", m_send_count)
                             .add("budget", m_context.budget_of(m_request.service).balance()));
     m_buffered_response.clear();
     dispatch(now);
@@ -448,7 +450,7 @@
     if (!m_attempt->is_sent() && Core::elapsed(m_attempt->started_at(), now) > m_context.settings.connect_limit) {
         auto const attempt = m_attempt;
         attempt->cancel();
-        return handle_failure(*attempt, BackendAttempt::Failure::NotSent, "the connection did not come up in time");
+        return handle_failure(*attempt, BackendAttempt::Failure::NotSent, "connect timed out");
     }
     if (m_request.is_repeatable() && m_attempt->is_sent() && is_stalled(now))
         return replace_stalled_attempt(now);
@@ -509,7 +511,7 @@
     count_unanswered_attempt();
     end_attempt(AttemptResult::Failure, now);
     m_events.drop_partial_event();
-    retry("the backend server is silent", now);
+    retry("the backend server stopped responding", now);
 }
 
 void RequestForwarder::fail_deadline(Core::MonotonicTime now)
@@ -521,13 +523,13 @@
     }
     drop_unsent_attempt();
     if (m_has_started_response)
-        return abort_response("the time limit is over");
-    fail(Status::s_gateway_timeout, "time_limit", "the request's time limit is over");
+        return abort_response("the time limit was exceeded");
+    fail(Status::s_gateway_timeout, "time_limit", "the request's time limit was exceeded");
 }
 
 void RequestForwarder::drop_unsent_attempt()
 {
-    // Its connection may still come up, and must then not send what is refused by now.
+    // A connection that is established later must not send a request that has been answered as not run.
     if (m_attempt)
         m_attempt->cancel();
     m_attempt.reset();
@@ -541,8 +543,9 @@
     count_unanswered_attempt();
     if (m_attempt)
         m_attempt->cancel();
-    finish(m_may_have_run || m_sends > 0 || (m_attempt && m_attempt->is_sent()) ? Outcome::Unknown : Outcome::NotRun, 0,
-        "caller_gone");
+    finish(
+        m_may_have_run || m_send_count > 0 || (m_attempt && m_attempt->is_sent()) ? Outcome::Unknown : Outcome::NotRun,
+        0, "caller_gone");
 }
 
 void RequestForwarder::abandon()
@@ -555,7 +558,7 @@
     }
     if (m_has_started_response)
         return abort_response("stopping");
-    fail(Status::s_bad_gateway, "stopping", "this gateway stops");
+    fail(Status::s_bad_gateway, "stopping", "this gateway is shutting down");
 }
 
 void RequestForwarder::fail(
@@ -590,8 +593,8 @@
 {
     auto const now = Core::monotonic_now();
     auto const total = now - m_request.received;
-    bool const is_ordinary = outcome == Outcome::Done && Status::is_success(status) && m_sends <= 1;
-    // Reasons from outside are many; the metric keeps to those of the code.
+    bool const is_ordinary = outcome == Outcome::Done && Status::is_success(status) && m_send_count <= 1;
+    // Metric labels come from a fixed set; reasons from outside the code are not bounded.
     m_context.metrics.note_end(m_request.tier, outcome, outcome == Outcome::Cut ? "cut" : std::string(reason));
     if (outcome == Outcome::Done)
         m_context.metrics.note_whole(m_request.tier, std::chrono::duration_cast<Core::Microseconds>(total));
@@ -605,7 +608,7 @@
             .add("route", m_request.route->name)
             .add("class", m_request.request_class->name)
             .add("workspace", m_request.workspace)
-            .add("sends", m_sends)
+            .add("sends", m_send_count)
             .add("server", m_choice.server ? m_choice.server->record().instance : std::string())
             .add("first_ms",
                 m_first_event_at ? Core::elapsed(m_request.received, *m_first_event_at) : Core::Milliseconds(-1))
--- a/Libraries/LibGateway/RequestForwarder.h
+++ b/Libraries/LibGateway/RequestForwarder.h
@@ -24,50 +24,53 @@
 
 namespace GraniteField::Gateway {
 
-/// How a gateway treats its requests.
+/// Limits and timeouts for forwarding a request to backend servers.
 struct ForwardingSettings {
-    /// A connection to a backend server that is not up by then is given up; the request goes elsewhere.
+    /// Timeout for connecting to a backend server; afterwards another server is tried.
     Core::Milliseconds connect_limit {400};
-    /// Connections that one request may try to open without sending anything. A connection that was never made is no
-    /// send, so that the next server is free to be asked; the bound only ends a request before a fleet that is gone. It
-    /// lies well above the servers in a row that a crash of a quarter of them lets one request meet.
+    /// Number of failed connects after which a request is answered with an error. A failed connect does not count as a
+    /// send, since nothing was sent. The limit only ends a request while the whole service is unreachable: it exceeds
+    /// the number of dead servers that one request meets in a row after a crash of a quarter of all servers.
     unsigned max_connects {64};
-    /// How long a request waits here while no backend server can be had, at most; never over a quarter of its target.
+    /// Maximum time that a request waits while no backend server is available; never more than a quarter of its target
+    /// for the first token.
     Core::Milliseconds hold_limit {1'000};
-    /// Bytes of an answer that is no stream, up to which it is kept until it is whole, so that it can be replaced.
+    /// Number of bytes of a non-streaming response that are buffered, so that a retry can still replace an incomplete
+    /// response.
     std::size_t max_buffered_response {1U << 20U};
-    /// Bytes that a caller has not taken, above which its answer is read no further.
+    /// Number of bytes not yet read by the caller above which reading from the backend server is paused.
     std::size_t caller_window {256U << 10U};
-    /// Bytes that all callers' connections hold together. Beyond them answers are read no further than the small
-    /// window, and are handed on as they come: many callers that read slowly must not take the memory of those that are
-    /// served.
+    /// Number of bytes buffered for all callers together above which each response is forwarded as it arrives, with the
+    /// reduced caller window. Slow readers must not use up the memory needed for other callers.
     std::size_t held_limit {64U << 20U};
     std::size_t reduced_caller_window {16U << 10U};
-    /// Told to callers of requests that did not run, where nothing better is known.
+    /// Retry-After for requests that did not run, unless a backend server's backoff gives a better value.
     Core::Milliseconds retry_after {300};
     Policy::RetryAllowance retries;
-    /// A server that crashes so soon after it has begun a request may have crashed by it. A busy gateway reads some
-    /// hundred milliseconds late.
+    /// Time after the start of a request at a backend server during which a crash of the server may have been caused by
+    /// the request. Includes some hundred milliseconds by which a busy gateway reads late.
     Core::Milliseconds recent_start_limit {1'000};
-    /// A request that was at so many moments of crashes, and at no good end since, is not sent again by a gateway.
+    /// Number of crash moments at which a request was running, without having completed since, from which on it is not
+    /// retried.
     std::size_t max_crash_moments_for_retry {2};
 
-    // When a server that took a repeatable request and says nothing is given up for another one.
-    /// So many times the wait that was predicted, and never before this part of the class's target is over.
+    // Conditions under which a repeatable request is moved to another backend server because the current one is silent.
+    /// Multiple of the predicted wait, and at least this share of the class's target for the first token.
     double stall_factor {3};
     double stall_min_target_share {0.5};
-    /// The same for a stream's first event: a prompt that is read in vain costs more than a plain call.
+    /// The same for the first event of a stream. The limits are higher, since a discarded prefill costs more than a
+    /// plain call.
     double stall_first_event_factor {6};
     double stall_first_event_min_target_share {1};
-    /// At a server that is suspected to be dead: its silence since then. Whoever gets answers from it tells that within
+    /// Time since a server was suspected to be dead. Gateways that still get responses from the server report so within
     /// 150 ms.
     Core::Milliseconds stall_limit_if_suspected {300};
-    /// Within a stream: so many times the class's target for a pause, and never before the least time.
+    /// Multiple of the class's target for a pause between two events, and at least the minimum pause.
     double stall_pause_factor {3};
     Core::Milliseconds stall_min_pause {1'000};
 };
 
-/// What all runs of a gateway share.
+/// State shared by all requests of a gateway.
 struct ForwardingContext {
     boost::asio::io_context& loop;
     ForwardingSettings settings;
@@ -75,14 +78,14 @@
     BackendFleet& fleet;
     LoadExchange& load;
     CrashWatch& crashes;
-    /// Where requests that begin to run are counted; null where nobody reports them.
+    /// Counts requests that start to run; null if usage is not reported.
     Cluster::SharedDuty* usage;
     UnseenRuns unseen_runs;
     Policy::Admission admission;
-    /// By service.
+    /// Retry budgets by service.
     std::map<std::string, Policy::FleetRetryBudget> budgets;
     std::size_t entry_count {1};
-    /// Bytes that callers' connections held at the last tick.
+    /// Number of bytes buffered for callers: measured at the last tick, plus what was added since.
     std::size_t held_bytes {0};
     Observe::EventLog& log;
     GatewayMetrics& metrics;
@@ -91,9 +94,9 @@
     [[nodiscard]] Policy::FleetRetryBudget& budget_of(std::string const& service);
 };
 
-/// A request from its arrival to its final answer: the attempts, one after the other, and what the caller has been
-/// given. It keeps what is promised: a request that is not repeatable is sent at most once, an answer that is handed
-/// on is one backend server's, and a refusal that says "not run" is true.
+/// Forwards one request from its arrival to its final response, in one or more consecutive attempts. Guarantees that a
+/// request that is not repeatable is sent at most once, that a forwarded response comes from a single backend server,
+/// and that a request refused as "not run" did not run.
 class RequestForwarder final : public BackendAttempt::Listener {
 public:
     RequestForwarder(ForwardingContext&, RoutedRequest, std::shared_ptr<CallerConnection>);
@@ -102,16 +105,16 @@
     RequestForwarder& operator=(RequestForwarder const&) = delete;
 
     void start(Core::MonotonicTime now);
-    /// Limits in time, and held requests.
+    /// Enforces the timeouts and dispatches a request that waits for a backend server.
     void tick(Core::MonotonicTime now);
-    /// This process was away, and servers may have spoken meanwhile.
+    /// Restarts the silence timer after a stall of this process, during which responses may have arrived unread.
     void note_process_stall(Core::MonotonicTime now);
-    /// The process ends: the caller gets what can be said.
+    /// Sends the final response before the process ends.
     void abandon();
 
-    /// Whether it waits for a backend server.
+    /// Whether the request waits for a backend server.
     [[nodiscard]] bool is_waiting() const { return !m_is_over && m_attempt == nullptr; }
-    /// Whether the caller has its final answer or is gone.
+    /// Whether the final response was sent or the caller has disconnected.
     [[nodiscard]] bool is_over() const { return m_is_over; }
     [[nodiscard]] RoutedRequest const& request() const { return m_request; }
 
@@ -123,44 +126,44 @@
     void dispatch(Core::MonotonicTime now);
     void hold(Core::MonotonicTime now);
     void send_to(Choice const&, Core::MonotonicTime now);
-    /// The reason to reject a new prompt for this server, or nullopt to admit it.
+    /// Returns the reason to reject a new prompt, or nullopt to admit it.
     [[nodiscard]] std::optional<Policy::Rejection> check_admission(Choice const&, Core::MonotonicTime now);
-    /// A random number of the request from 0 to 1.
+    /// Returns a number from 0 to 1 derived from the request's id.
     [[nodiscard]] double request_fraction() const;
-    /// Delay to send as Retry-After when the request can be served at that opening.
+    /// Returns the delay to send as Retry-After for a request that can be served at this opening.
     [[nodiscard]] Core::Milliseconds retry_delay(Opening const&, Core::MonotonicTime now) const;
     void log_rejection(Policy::Rejection const&) const;
     [[nodiscard]] std::string serialize_request(BackendView const&, Core::MonotonicTime now) const;
 
-    /// Whom not to ask.
+    /// Returns the servers that this request must not be sent to.
     [[nodiscard]] std::set<std::string> excluded_servers() const;
-    /// The best server, away from places where servers crashed under this request while there are others.
+    /// Returns the best server, preferring places where no server has crashed while running this request.
     [[nodiscard]] Choice choose_server(Core::MonotonicTime now) const;
-    /// Whether the request is known to crash whatever begins it.
+    /// Whether the request is quarantined for crashing the servers that run it.
     [[nodiscard]] bool is_quarantined(Core::MonotonicTime now) const;
-    /// Whether that is about to be known.
-    [[nodiscard]] bool is_in_doubt(Core::MonotonicTime now) const;
-    /// Ends a request that is quarantined.
+    /// Whether a decision about quarantine is pending.
+    [[nodiscard]] bool is_quarantine_pending(Core::MonotonicTime now) const;
+    /// Sends the final response to a quarantined request.
     void reject_quarantined();
-    /// The same while it is at a server, which may not have begun it yet. One that has run for long is left there: its
-    /// good end would clear the request.
+    /// Withdraws a quarantined request from a server that may not have started it yet. A request that has been running
+    /// for long stays at its server, since its completion would clear it.
     void reject_quarantined_attempt();
     [[nodiscard]] bool has_long_running_attempt(Core::MonotonicTime now) const;
-    /// How the request is at its server.
+    /// Returns how likely it is that a crash of the current server was caused by this request.
     [[nodiscard]] Policy::Exposure exposure(Core::MonotonicTime now) const;
     void handle_not_run(Core::MonotonicTime now);
     void handle_broken_attempt(std::string const& reason, Core::MonotonicTime now);
     [[nodiscard]] bool may_retry(Core::MonotonicTime now);
     void retry(std::string_view why, Core::MonotonicTime now);
 
-    /// Whether the answer belongs to this request, by the id that it echoes.
+    /// Whether the request id echoed by the response is that of this request.
     [[nodiscard]] bool is_response_to_request(HTTP::AnswerHead const&) const;
     [[nodiscard]] bool is_valid_response(HTTP::AnswerHead const&, std::string& problem) const;
     void forward_stream(BackendAttempt&);
     void forward_response(BackendAttempt&);
-    /// Reads on only as far as the caller keeps up.
+    /// Pauses reading from the backend server while the caller does not keep up.
     void throttle_reading(BackendAttempt&) const;
-    /// Bytes that the caller may leave untaken before its answer is read no further.
+    /// Returns the number of unread bytes above which reading from the backend server is paused.
     [[nodiscard]] std::size_t caller_window() const;
     void start_response(HTTP::AnswerHead const&);
     [[nodiscard]] HTTP::FieldList forwarded_fields(HTTP::AnswerHead const&) const;
@@ -174,25 +177,25 @@
         Rejected,
     };
     void end_attempt(AttemptResult, Core::MonotonicTime now);
-    /// Rejected during a backoff of the current attempt's server, otherwise Failure.
+    /// Returns Rejected during a backoff of the current attempt's server, otherwise Failure.
     [[nodiscard]] AttemptResult result_of_error(Core::MonotonicTime now) const;
-    /// A backend server began to run the request then. It counts once, by the first server, also where that fails.
+    /// Counts the request as started, once, for the first server that runs it, even if that server fails.
     void count_usage(Core::MonotonicTime started_at);
-    /// The server ran the request to its end: it crashes nobody.
+    /// Clears the request of crashes: a server ran it to completion.
     void note_completed(Core::MonotonicTime now);
-    /// The attempt in hand was sent and brought no whole answer. A plain service may have lost only its answer; of a
-    /// stream without an event nobody knows.
+    /// Counts a sent attempt that ended without a complete response. A plain service may have lost only its response;
+    /// whether a stream without an event ran is unknown.
     void count_unanswered_attempt();
 
     void drop_unsent_attempt();
-    /// How long the attempt's server may be silent before another one is asked.
+    /// Returns how long the server may be silent before the request is moved to another one.
     [[nodiscard]] Core::Milliseconds stall_limit() const;
     [[nodiscard]] bool is_stalled(Core::MonotonicTime now) const;
     void replace_stalled_attempt(Core::MonotonicTime now);
 
     void handle_caller_gone();
     void fail_deadline(Core::MonotonicTime now);
-    /// A final answer of the gateway's own: 503 where nothing ran, else 502 or 504.
+    /// Sends an error response of the gateway itself: 503 if nothing ran, otherwise the given status.
     void fail(int status_if_may_have_run, std::string code, std::string message,
         std::optional<Core::Milliseconds> retry_after = std::nullopt);
     void abort_response(std::string_view reason);
@@ -204,14 +207,14 @@
     std::shared_ptr<CallerConnection> m_caller;
     std::shared_ptr<BackendAttempt> m_attempt;
     Choice m_choice;
-    /// Servers that it was sent to.
+    /// Instances that the request was sent to.
     std::set<std::string> m_tried_servers;
-    /// Servers that took no connection.
+    /// Instances that refused the connection or did not accept it in time.
     std::set<std::string> m_unreachable_servers;
-    unsigned m_sends {0};
+    unsigned m_send_count {0};
     unsigned m_failed_connects {0};
     bool m_may_have_run {false};
-    /// Whether it is counted as begun.
+    /// Whether the request was counted as started; shared with UnseenRuns.
     std::shared_ptr<bool> m_is_usage_counted {std::make_shared<bool>(false)};
     bool m_is_over {false};
     std::optional<Core::MonotonicTime> m_held_since;
--- a/Libraries/LibGateway/RequestForwarderResponses.cpp
+++ b/Libraries/LibGateway/RequestForwarderResponses.cpp
@@ -1,4 +1,4 @@
-// The part of a run that takes answers: whose they are, what the caller gets of them, and when they are whole.
+// Response handling of RequestForwarder: validates, buffers and forwards responses of backend servers.
 #include <LibGateway/RequestForwarder.h>
 
 #include <LibHTTP/Status.h>
@@ -18,7 +18,7 @@
 void RequestForwarder::handle_response_head(BackendAttempt& attempt)
 {
     auto const& head = attempt.parser().head();
-    // 421 is sent by another server that now has the address; its statements do not concern this one.
+    // A 421 comes from another server that now has this address, so its signals do not apply to the chosen server.
     if (head.status == Status::s_misdirected || !is_response_to_request(head))
         return;
     m_context.fleet.note_signals(
@@ -28,15 +28,15 @@
 bool RequestForwarder::is_valid_response(HTTP::AnswerHead const& head, std::string& problem) const
 {
     if (!is_response_to_request(head)) {
-        problem = "the answer names another request";
+        problem = "the response belongs to another request";
         return false;
     }
     if (!Status::is_success(head.status))
         return true;
     if (head.fields.find(m_context.dialect.answer_signature) == nullptr)
-        problem = "the answer has no signature";
+        problem = "the response has no signature";
     else if (head.fields.find("Content-Encoding") != nullptr)
-        problem = "the answer's body is encoded";
+        problem = "the response body has a content encoding";
     return problem.empty();
 }
 
@@ -56,9 +56,9 @@
     if (m_request.is_stream() && Status::is_success(head.status))
         return forward_stream(attempt);
     if (m_has_started_response) {
-        // A stream that should go on met a failure instead.
+        // A resumed stream must be answered by another stream.
         attempt.cancel();
-        return handle_broken_attempt("the stream was not taken up", now);
+        return handle_broken_attempt("the backend server did not resume the stream", now);
     }
     forward_response(attempt);
 }
@@ -95,7 +95,7 @@
         }
         auto const unsent_bytes = m_caller->pending_bytes();
         m_caller->append(events);
-        // Counted anew with each tick; much may come between two.
+        // Recomputed at each tick; large amounts may be added between two ticks.
         m_context.held_bytes += std::max(unsent_bytes, m_caller->pending_bytes()) - unsent_bytes;
         if (m_is_over)
             return;
@@ -103,7 +103,7 @@
     if (attempt.parser().is_complete()) {
         if (m_events.has_partial_event()) {
             attempt.cancel();
-            return handle_broken_attempt("the stream ended within an event", now);
+            return handle_broken_attempt("the stream ended in the middle of an event", now);
         }
         end_attempt(AttemptResult::Success, now);
         note_completed(now);
@@ -154,7 +154,8 @@
 
 bool RequestForwarder::must_hide_response(HTTP::AnswerHead const& head) const
 {
-    // Without its mark nobody knows that the request did not run, and the status would promise it.
+    // These statuses promise that the request did not run. Without the explicit field this is unproven for a request
+    // that must not run twice.
     return Status::promises_not_run(head.status) && !m_request.is_repeatable();
 }
 
@@ -168,13 +169,13 @@
     if (is_server_error && m_request.is_repeatable() && !m_has_started_response && may_retry(now)) {
         m_tried_servers.insert(attempt.server().record().instance);
         end_attempt(result_of_error(now), now);
-        return retry("the backend server answered with an error", now);
+        return retry("the backend server responded with an error", now);
     }
     end_attempt(is_server_error ? result_of_error(now) : AttemptResult::Success, now);
     if (must_hide_response(head)) {
         m_may_have_run = true;
-        return fail(
-            Status::s_bad_gateway, "refused_unmarked", "the backend server refused without saying that it did not run");
+        return fail(Status::s_bad_gateway, "refused_unmarked",
+            "the backend server refused without stating that the request did not run");
     }
     if (m_has_started_response) {
         m_caller->append(m_buffered_response);
