--- a/Libraries/LibGateway/BackendAttempt.cpp
+++ b/Libraries/LibGateway/BackendAttempt.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-/// Sent bytes that are not acknowledged for this long end the connection: a host without power says nothing.
+/// Timeout for the acknowledgement of sent bytes, which detects a host without power.
 constexpr Core::Milliseconds s_unacknowledged_timeout {3'000};
-/// A host without power is noticed by probes as well, where nothing is being sent: the first after this many seconds
-/// of silence, then one a second, and after two without an answer the connection ends.
+/// Keep-alive probes, which detect a host without power while nothing is being sent: the first after this many seconds
+/// of silence, then one per second, and the connection ends after two unanswered probes.
 constexpr int s_seconds_to_first_probe = 1;
 constexpr int s_seconds_between_probes = 1;
 constexpr int s_max_lost_probes = 2;
@@ -83,7 +83,7 @@
 {
     if (m_is_over)
         return;
-    // The listener may drop its last reference to this attempt.
+    // Keeps this attempt alive, since the listener may release its last reference.
     auto const self = shared_from_this();
     cancel();
     m_listener->handle_failure(*this, failure, reason);
@@ -112,7 +112,7 @@
                 });
             return;
         }
-        // A server may answer before it has read all, and close; its answer counts.
+        // A server may respond and close before it has read the whole request; its response is valid.
         if (error && m_written > 0)
             return;
         if (error)
@@ -147,7 +147,7 @@
     if (error == boost::asio::error::eof) {
         m_parser.add_end();
         if (!m_parser.is_complete())
-            return fail(Failure::Broken, "the connection was closed before the answer was whole");
+            return fail(Failure::Broken, "the connection was closed before the response was complete");
         return m_listener->handle_response(*this);
     }
     if (error)
@@ -156,7 +156,7 @@
     m_input.append(s_buffer.data(), count);
     m_input.erase(0, m_parser.add(m_input));
     if (m_parser.is_broken())
-        return fail(Failure::Broken, "what came is no HTTP answer");
+        return fail(Failure::Broken, "the received bytes are not a valid HTTP response");
     if (m_parser.has_head() && !m_head_received_at) {
         m_head_received_at = m_last_received_at;
         m_listener->handle_response_head(*this);
--- a/Libraries/LibGateway/BackendAttempt.h
+++ b/Libraries/LibGateway/BackendAttempt.h
@@ -13,30 +13,30 @@
 
 namespace GraniteField::Gateway {
 
-/// One try to run a request at one backend server, over a connection of its own: what is sent can't be answered by
-/// bytes that belong to another request, and nothing is ever sent again below this level. On the gateway's thread.
+/// One attempt to run a request at one backend server, over its own connection. Bytes of another request's response
+/// can't be mistaken for this one's, and nothing is resent below this level. Used on the gateway's thread only.
 class BackendAttempt : public std::enable_shared_from_this<BackendAttempt> {
 public:
-    /// How an attempt ended without a whole answer.
+    /// Reason why an attempt ended without a complete response.
     enum class Failure {
-        /// Nothing was sent: the connection did not come up.
+        /// The connection was not established; nothing was sent.
         NotSent,
-        /// It was sent, and the connection ended or brought what is no answer. It may have run.
+        /// The connection ended or carried an invalid response after sending. The request may have run.
         Broken,
     };
 
-    /// Follows an attempt. Calls come from the event loop, never from within begin().
+    /// Receives the events of an attempt, always from the event loop and never from within start().
     class Listener {
     public:
         virtual ~Listener() = default;
-        /// The answer's head has come; once, before handle_response().
+        /// Called once when the head of the response has arrived, before handle_response().
         virtual void handle_response_head(BackendAttempt&) = 0;
-        /// The answer's head, or more of its body, has come.
+        /// Called when the head of the response or more of its body has arrived.
         virtual void handle_response(BackendAttempt&) = 0;
         virtual void handle_failure(BackendAttempt&, Failure, std::string const& reason) = 0;
     };
 
-    /// What is read at once, at most.
+    /// Maximum number of bytes per read.
     static constexpr std::size_t s_read_size = 64U << 10U;
 
     BackendAttempt(boost::asio::io_context&, std::shared_ptr<BackendView>, HTTP::BodyRule, Listener&);
@@ -44,28 +44,28 @@
     BackendAttempt(BackendAttempt const&) = delete;
     BackendAttempt& operator=(BackendAttempt const&) = delete;
 
-    /// Connects, and sends the request when the connection is up.
+    /// Connects, and sends the request once connected.
     void start(std::string request, Core::MonotonicTime now);
-    /// Closes the connection; the listener hears nothing more.
+    /// Closes the connection; the listener is not called any more.
     void cancel();
 
     [[nodiscard]] BackendView& server() { return *m_server; }
     [[nodiscard]] HTTP::AnswerParser& parser() { return m_parser; }
     [[nodiscard]] ServerLoad& load() { return m_load; }
-    /// Whether any byte of the request has left; from then on it may have run.
+    /// Whether any byte of the request was sent, so that it may have run.
     [[nodiscard]] bool is_sent() const { return m_written > 0; }
     [[nodiscard]] Core::MonotonicTime started_at() const { return m_started_at; }
-    /// When something last came from the server; the beginning before that.
+    /// Time of the last byte from the server, or the start of the attempt.
     [[nodiscard]] Core::MonotonicTime last_received_at() const { return m_last_received_at; }
-    /// When the answer's head came; nothing before.
+    /// Time at which the head of the response arrived; nullopt before.
     [[nodiscard]] std::optional<Core::MonotonicTime> head_received_at() const { return m_head_received_at; }
-    /// This process was away: the server's silence is counted from now on.
+    /// Measures the server's silence from now on, after a stall of this process.
     void restart_silence_timer(Core::MonotonicTime now) { m_last_received_at = now; }
     [[nodiscard]] bool is_over() const { return m_is_over; }
 
-    /// Reads no more than this at once from now on.
+    /// Limits the number of bytes per read from now on.
     void set_read_size(std::size_t bytes) { m_read_size = bytes; }
-    /// Reads nothing more until resume(); for a caller that does not keep up.
+    /// Stops reading until resume(), for a caller that does not keep up.
     void pause() { m_is_paused = true; }
     void resume();
     [[nodiscard]] bool is_paused() const { return m_is_paused; }
--- a/Libraries/LibGateway/CallerConnection.cpp
+++ b/Libraries/LibGateway/CallerConnection.cpp
@@ -13,14 +13,14 @@
 
 namespace {
 
-/// Bytes behind the request in hand that are kept; beyond them nothing is read until it is answered.
+/// Number of buffered bytes after the current request above which reading pauses until the request is answered.
 constexpr std::size_t s_max_buffered_input = 64U << 10U;
 constexpr std::size_t s_read_size = 64U << 10U;
-/// What the caller has taken is given up in pieces of this size: moving what is left costs time, and a caller that is
-/// always a little behind would else have its whole answer gathered here.
+/// Number of written bytes from which they are released. Releasing moves the rest of the buffer, so it is done in large
+/// steps; without it, the whole response of a caller that never catches up would accumulate.
 constexpr std::size_t s_min_dropped_bytes = 64U << 10U;
-/// How long a closing connection waits for the caller to close its side, so that what was written is not lost to a
-/// reset.
+/// Time that a closing connection waits for the caller to close its side, so that a reset does not discard written
+/// data.
 constexpr Core::Milliseconds s_closing_timeout {1'000};
 
 std::string_view reason_phrase(int status)
@@ -29,7 +29,7 @@
     return {text.data(), text.size()};
 }
 
-/// Whether an answer of this status never has a body (RFC 9110, section 6.4.1).
+/// Whether a response with this status never has a body (RFC 9110, section 6.4.1).
 bool has_no_body(int status)
 {
     return status == 204 || status == 304;
@@ -73,7 +73,7 @@
     if (error == boost::asio::error::would_block)
         return read();
     if (error || count == 0) {
-        // A caller that has closed its side is taken as gone, also where it could still read.
+        // A caller that has closed its sending side counts as disconnected, even if it could still read.
         if (m_state == State::Responding && m_on_disconnect) {
             auto const on_disconnect = std::exchange(m_on_disconnect, nullptr);
             on_disconnect();
@@ -145,7 +145,7 @@
 
 void CallerConnection::append_head(int status, HTTP::FieldList const& fields)
 {
-    // One that may be closed is told so before, never after.
+    // The caller must learn that the connection closes before it sends its next request.
     m_caller_keeps_open = keeps_connection_open();
     Core::append(&m_output, "HTTP/1.1 ", status, " ", reason_phrase(status), "\r\n");
     for (auto const& field : fields.all())
@@ -213,7 +213,8 @@
     if (m_is_closed)
         return;
     m_on_disconnect = nullptr;
-    // A reset, so that a caller without chunks can't take the end for a whole answer either.
+    // Resets the connection, since a caller without chunked encoding would take an orderly close for a complete
+    // response.
     if (!m_is_chunked) {
         Error ignored;
         m_socket.set_option(boost::asio::socket_base::linger(true, 0), ignored);
@@ -279,7 +280,7 @@
         return read();
     m_has_request_started = true;
     m_request_started_at = m_last_activity;
-    // Through the loop, so that a caller with many requests in one packet does not deepen the stack.
+    // Posted to the event loop, so that many pipelined requests in one packet do not deepen the stack.
     boost::asio::post(m_socket.get_executor(), [self = shared_from_this()] {
         self->process_input();
         self->read();
@@ -321,7 +322,7 @@
             close();
         return;
     case State::Finishing:
-        // Nobody else ends it: its request is over.
+        // The request is over, so no other timeout ends this connection.
         if (Core::elapsed(std::max(m_last_activity, m_last_write), now) > limits.idle_timeout)
             abort_response();
         return;
--- a/Libraries/LibGateway/CallerConnection.h
+++ b/Libraries/LibGateway/CallerConnection.h
@@ -15,74 +15,75 @@
 
 namespace GraniteField::Gateway {
 
-/// One connection from a caller: reads requests one after the other, hands each on, and writes its answer. All on the
-/// gateway's thread. The next request is read only when the answer to the one before it is written.
+/// A caller's connection: reads requests one after the other, passes each to the handler and writes its response. The
+/// next request is processed only after the response to the previous one is written. Used on the gateway's thread only.
 class CallerConnection : public std::enable_shared_from_this<CallerConnection> {
 public:
-    /// How long callers may take and how much they may send.
+    /// Timeouts and size limits for callers.
     struct Limits {
         HTTP::RequestParser::Limits request;
         /// From the first byte of a request to the end of its head.
         Core::Milliseconds head_timeout {3'000};
-        /// Without a byte, between requests or within a body, or while an answer's end waits for the caller to read.
+        /// Without a received byte between requests or within a body, or without a written byte at the end of a
+        /// response.
         Core::Milliseconds idle_timeout {15'000};
     };
 
-    /// Takes whole requests.
+    /// Handles complete requests.
     class Handler {
     public:
         virtual ~Handler() = default;
         virtual void handle_request(
             std::shared_ptr<CallerConnection>, HTTP::RequestHead, std::string body, Core::MonotonicTime received)
             = 0;
-        /// The limits in force now.
+        /// Returns the limits in force.
         [[nodiscard]] virtual Limits const& limits() const = 0;
-        /// Whether answers tell callers to close the connection.
+        /// Whether responses ask callers to close the connection.
         [[nodiscard]] virtual bool is_draining() const = 0;
-        /// A request that was refused before it was whole.
+        /// Called for a request that was rejected before it was complete.
         virtual void note_bad_request(HTTP::RequestProblem) = 0;
     };
 
     CallerConnection(boost::asio::ip::tcp::socket, Handler&);
 
-    /// Begins to read.
+    /// Starts to read requests.
     void start();
-    /// Looks at the limits in time.
+    /// Enforces the timeouts.
     void tick(Core::MonotonicTime now);
     [[nodiscard]] bool is_closed() const { return m_is_closed; }
-    /// Whether a request is read or answered.
+    /// Whether a request is being read or answered.
     [[nodiscard]] bool is_busy() const
     {
         return m_state != State::Reading || !m_input.empty() || m_has_request_started;
     }
-    /// Closes a connection that waits for its next request.
+    /// Closes the connection if it waits for its next request.
     void close_if_idle();
 
-    // For whoever answers the request.
+    // Functions for the code that answers the request.
 
-    /// Called when the caller has closed the connection before its answer was whole.
+    /// Sets a callback for the case that the caller disconnects before its response is complete.
     void set_on_disconnect(std::function<void()> callback) { m_on_disconnect = std::move(callback); }
-    /// Gives the whole answer.
+    /// Sends a complete response.
     void send_response(int status, HTTP::FieldList const& fields, std::string_view body);
-    /// Begins an answer of which more follows.
+    /// Starts a response whose body follows in append().
     void start_response(int status, HTTP::FieldList const& fields);
     void append(std::string_view);
-    /// The answer is whole.
+    /// Completes a response that was started with start_response().
     void finish_response();
-    /// The answer ends here though it is not whole: the connection is closed without the mark of its end.
+    /// Closes the connection without the end marker of the response, so that the caller sees it is incomplete.
     void abort_response();
-    /// Bytes that the caller has not taken yet.
+    /// Number of response bytes not yet passed to the kernel.
     [[nodiscard]] std::size_t pending_bytes() const { return m_output.size() - m_written; }
-    /// Memory that the connection takes for what has come and what is to go.
+    /// Number of bytes allocated for input and output.
     [[nodiscard]] std::size_t held_bytes() const { return m_input.capacity() + m_output.capacity(); }
 
 private:
     enum class State {
         Reading,
         Responding,
-        /// The answer is whole and is being written.
+        /// The response is complete and being written.
         Finishing,
-        /// All is written; the caller closes, or time passes.
+        /// Everything is written; waits for the caller to close, or for a timeout.
         Closing,
     };
 
@@ -91,13 +92,13 @@
     void read();
     void receive();
     void process_input();
-    /// Lets a caller that asked first send its body (RFC 9110, section 10.1.1).
+    /// Sends "100 Continue" to a caller that expects it (RFC 9110, section 10.1.1).
     void send_continue();
     void refuse(HTTP::RequestProblem);
     void write();
     void wait_to_write();
     void handle_response_written();
-    /// Gives up what the caller has taken.
+    /// Releases the output that was written.
     void drop_written();
     void append_head(int status, HTTP::FieldList const&);
     void start_closing();
@@ -113,7 +114,7 @@
 
     std::string m_input;
     std::optional<HTTP::RequestParser> m_parser;
-    /// A request has begun to come.
+    /// Whether a byte of the current request has arrived.
     bool m_has_request_started {false};
     bool m_has_sent_continue {false};
     Core::MonotonicTime m_request_started_at;
@@ -125,7 +126,7 @@
     int m_minor_version {1};
     std::string m_output;
     std::size_t m_written {0};
-    /// When the caller last took something.
+    /// Time of the last successful write.
     Core::MonotonicTime m_last_write;
     std::function<void()> m_on_disconnect;
 };
