--- a/Meta/deliberate-breaks.sh
+++ b/Meta/deliberate-breaks.sh
@@ -24,43 +24,43 @@
     '10|Libraries/LibPlatform/TableStore.cpp|s/if (base.version() == current.version())/if (true)/|ConfigurationTest|*TwoOperators*'
     '11|Libraries/LibPolicy/AdmissionQueue.h|s/work.tier > tier/work.tier > 0 * tier/|AdmissionQueueTest|*SuspendsOnly*'
     '12|Libraries/LibEntry/LinkSet.cpp|s/link->set_listed_as_leaving(is_leaving);/link->set_listed_as_leaving(is_leaving \&\& false);/|LeavingTest|*HostList*'
-    "13|Libraries/LibGateway/RequestForwarder.cpp|/::drop_unsent_attempt()/,/^}/s/m_attempt->cancel();/static_cast<void>(0);/|AttemptRulesTest|*WhatWasGivenUp*"
-    "14|Libraries/LibGateway/RequestForwarder.cpp|s/m_request.is_repeatable() \&\& can_continue/can_continue/|AttemptRulesTest|*WhatMayHaveRun*"
+    "13|Libraries/LibGateway/RequestForwarder.cpp|/::drop_unsent_attempt()/,/^}/s/m_attempt->cancel();/static_cast<void>(0);/|AttemptRulesTest|*ClosesTheConnectionOfAnUnsent*"
+    "14|Libraries/LibGateway/RequestForwarder.cpp|s/m_request.is_repeatable() \&\& can_continue/can_continue/|AttemptRulesTest|*ThatMayHaveRun*"
     "15|Libraries/LibHTTP/RequestParser.cpp|s/has_bare_line_feed(head)/(has_bare_line_feed(head) \&\& false)/|RequestRulesTest|*BareLineFeed*"
     "16|Libraries/LibGateway/RequestForwarderResponses.cpp|s/if (echoed != m_call.id)/if (echoed != m_call.id \&\& false)/|AttemptRulesTest|*AnotherRequests*"
-    "17|Libraries/LibGateway/RequestForwarderResponses.cpp|s/return Status::promises_not_run(head.status) \&\& .*/return head.status < 0;/|AttemptRulesTest|*ARefusalWithoutItsMark*"
-    "18|Libraries/LibHTTP/EventFramer.cpp|s/bool const was_given = .*/bool const was_given = false;/|AttemptRulesTest|*AStreamGoesOnElsewhere*"
-    "19|Libraries/LibGateway/BackendView.h|s/return m_is_listed \&\& !m_states_leaving \&\& m_record.state == .*/return m_is_listed;/|AttemptRulesTest|*ALeavingServer*"
+    "17|Libraries/LibGateway/RequestForwarderResponses.cpp|s/return Status::promises_not_run(head.status) \&\& .*/return head.status < 0;/|AttemptRulesTest|*ARefusalWithoutTheNotRun*"
+    "18|Libraries/LibHTTP/EventFramer.cpp|s/bool const was_given = .*/bool const was_given = false;/|AttemptRulesTest|*ResumesAStream*"
+    "19|Libraries/LibGateway/BackendView.h|s/return m_is_listed \&\& !m_states_leaving \&\& m_record.state == .*/return m_is_listed;/|AttemptRulesTest|*ToALeavingServer*"
     "20|Libraries/LibGateway/ServerRoster.cpp|s/if (is_settling(now) \&\& !is_leaving)/if (is_settling(now) \&\& is_leaving)/|ServerRosterTest|*WaitsForWhat*"
     "21|Libraries/LibEntry/SharedServers.h|s/if (!m_list->is_provisional)/if (m_list)/|ServerRosterTest|*Provisional*"
-    "22|Libraries/LibGateway/CallerConnection.cpp|s/if (m_state == State::Responding \&\& m_on_disconnect)/if (m_state == State::Closing \&\& m_on_disconnect)/|AttemptRulesTest|*WhenTheCallerLeaves*"
-    "23|Libraries/LibGateway/GatewayServer.cpp|s/if (auto const error = refuse_for_stop(call, now))/if (auto const error = refuse_for_stop(call, now); error \&\& !m_drain_begun)/|AttemptRulesTest|*ThePlannedStop*"
+    "22|Libraries/LibGateway/CallerConnection.cpp|s/if (m_state == State::Responding \&\& m_on_disconnect)/if (m_state == State::Closing \&\& m_on_disconnect)/|AttemptRulesTest|*WhenTheCallerDisconnects*"
+    "23|Libraries/LibGateway/GatewayServer.cpp|s/if (auto const error = refuse_for_stop(call, now))/if (auto const error = refuse_for_stop(call, now); error \&\& !m_drain_begun)/|AttemptRulesTest|*DuringADrain*"
     '24|Libraries/LibPlatform/ObjectFollower.h|s/\*m_revision, wait);/*m_revision, wait * 8);/|GatewayProcessTest|*HangingWatch*'
-    '25|Libraries/LibGateway/PlacementPolicy.cpp|s/delayed_streams(server, estimate.unread_tokens, profile) . s_late/0 * delayed_streams(server, estimate.unread_tokens, profile) * s_late/|PauseRulesTest|*LongPromptsKeepAway*'
+    '25|Libraries/LibGateway/PlacementPolicy.cpp|s/delayed_streams(server, estimate.unread_tokens, profile) . s_late/0 * delayed_streams(server, estimate.unread_tokens, profile) * s_late/|PauseRulesTest|*PlacesLongPromptsAway*'
     '26|Libraries/LibEntry/PullSchedule.cpp|s/if (is_under_way)/if (is_under_way \&\& false)/|PullScheduleTest|*OnePull*'
     '27|Libraries/LibPlatform/ObjectClient.cpp|s/list_path(kind, has_names ?/list_path(kind, has_names \&\& false ?/|GatewayProcessTest|*LongList*'
     '28|Libraries/LibGateway/LoadSharing.cpp|s/m_placements_before = std::exchange(m_placements, {});/m_placements.clear();/|LoadExchangeTest|*ToldTwice*'
-    '29|Libraries/LibGateway/PlacementPolicy.cpp|s/ + slot_loss(load, server.record().slots);/ + 0 * slot_loss(load, server.record().slots);/|PauseRulesTest|*EnginesSlots*'
-    '30|Libraries/LibGateway/RequestForwarder.cpp|s/any_of(dialect.engine_orders, has_name)/any_of(dialect.engine_orders, [](auto const\&) { return false; })/|RequestRulesTest|*OrdersToEngines*'
-    '31|Libraries/LibGateway/RequestForwarder.cpp|s/m_choice.cancel_fetch();/static_cast<void>(0);/|AttemptRulesTest|*AFetchThatFails*'
-    '32|Libraries/LibGateway/PlacementPolicy.cpp|s/? s_timeout_loss : 0;/? 0 * s_timeout_loss : 0;/|PauseRulesTest|*DoNotAllWait*'
+    '29|Libraries/LibGateway/PlacementPolicy.cpp|s/ + slot_loss(load, server.record().slots);/ + 0 * slot_loss(load, server.record().slots);/|PauseRulesTest|*DoesNotFillTheSlots*'
+    '30|Libraries/LibGateway/RequestForwarder.cpp|s/any_of(dialect.engine_orders, has_name)/any_of(dialect.engine_orders, [](auto const\&) { return false; })/|RequestRulesTest|*StripsEngineControlFields*'
+    '31|Libraries/LibGateway/RequestForwarder.cpp|s/m_choice.cancel_fetch();/static_cast<void>(0);/|AttemptRulesTest|*AfterAFailedFetch*'
+    '32|Libraries/LibGateway/PlacementPolicy.cpp|s/? s_timeout_loss : 0;/? 0 * s_timeout_loss : 0;/|PauseRulesTest|*DoesNotQueueAll*'
     '33|Libraries/LibEntry/WatchElection.cpp|s/return now >= doubt_begins();/return now < doubt_begins() \&\& false;/|WatchersTest|*AllOfThemDie*'
     '34|Libraries/LibEntry/WatchElection.cpp|s/bool const is_behind = behind_ends_at \&\& now/bool const is_behind = behind_ends_at \&\& false \&\& now/|WatchElectionTest|*DoesNotCome*'
     '35|Libraries/LibGateway/RelayElection.cpp|s/if (has_paused(m_last_told, now))/if (has_paused(m_last_told, now) \&\& false)/|LoadSharingTest|*ReplacesADeadRelay*'
-    '37|Libraries/LibGateway/RequestForwarder.h|s/max_connects {64};/max_connects {4};/|AttemptRulesTest|*AQuarterOfThemDied*'
-    '38|Libraries/LibPolicy/FleetRetryBudget.h|s/if (earned() >= 1)/if (earned() >= 1 \&\& slice.spent == 0)/|GatewayPropertiesTest|*AWindowEarned*'
+    '37|Libraries/LibGateway/RequestForwarder.h|s/max_connects {64};/max_connects {4};/|AttemptRulesTest|*AQuarterOfTheServersDied*'
+    '38|Libraries/LibPolicy/FleetRetryBudget.h|s/if (earned() >= 1)/if (earned() >= 1 \&\& slice.spent == 0)/|GatewayPropertiesTest|*EarnedInAWindow*'
     '39|Libraries/LibGateway/SuspicionLedger.cpp|s/if (breaks.size() < s_breaks_to_suspect)/if (breaks.size() < 100 * s_breaks_to_suspect)/|LoadSharingTest|*StreamsBreakTogether*'
-    '40|Libraries/LibGateway/RequestForwarder.cpp|s/return suspected \&\& last_received_at/return false \&\& suspected \&\& last_received_at/|AttemptRulesTest|*OthersFoundDead*'
-    '41|Libraries/LibGateway/EarlyRequests.h|s/return std::min(s_longest_wait, patience/return 0 * std::min(s_longest_wait, patience/|AttemptRulesTest|*BeforeTheFirstTableWaits*'
+    '40|Libraries/LibGateway/RequestForwarder.cpp|s/return suspected \&\& last_received_at/return false \&\& suspected \&\& last_received_at/|AttemptRulesTest|*PeersReportDead*'
+    '41|Libraries/LibGateway/EarlyRequests.h|s/return std::min(s_longest_wait, patience/return 0 * std::min(s_longest_wait, patience/|AttemptRulesTest|*HoldsEarlyRequests*'
     '36|Libraries/LibGateway/LoadSharing.cpp|s/load = without(load, found->second);/load = without(load, {});/|LoadSharingTest|*KnowsWhatAny*'
     '42|Libraries/LibCluster/UsageReporter.h|s/return is_free ? m_known/return !is_free ? m_known->seen : is_free ? m_known/|UsageReporterTest|*CutOffFromItsPeers*'
     '43|Libraries/LibCluster/UsageReporter.h|s/bool const can_send = now < m_term->valid_until;/bool const can_send = true;/;s/std::min(m_settings.call_timeout, Core::elapsed(now, m_term->valid_until));/m_settings.call_timeout;/|UsageReporterTest|*WhateverFails*'
     '44|Libraries/LibCluster/UsageReporter.h|s/record.recorded_through = report.window;/static_cast<void>(report.window);/|UsageReporterTest|*EachWindowOnce*'
     '45|Libraries/LibCluster/UsageLedger.cpp|s/    tell_again(window);/    static_cast<void>(window);/|UsageLedgerTest|*RepeatsLosses*'
     '46|Libraries/LibCluster/FleetClock.cpp|s/return passed \* 2 >= hosts;/return passed >= hosts;/|UsageReporterTest|*ClocksThatJump*'
-    '47|Libraries/LibPolicy/Admission.cpp|s/if (!is_in_place \&\& (!is_late/if ((is_in_place ? true : true) \&\& (is_late ? true : true/|OverloadTest|*ServesNoFewer*'
+    '47|Libraries/LibPolicy/Admission.cpp|s/if (!is_in_place \&\& (!is_late/if ((is_in_place ? true : true) \&\& (is_late ? true : true/|OverloadTest|*ServesAsManyInTime*'
     '48|Libraries/LibPolicy/Admission.cpp|s/is_lower_rank_open(service, question.rank, now)/(is_lower_rank_open(service, question.rank, now) \&\& false)/|AdmissionTest|*NoUrgentRequest*'
-    '49|Libraries/LibGateway/PrefixCacheModel.h|s/if (own_tokens > 0)/if (own_tokens > 0 \&\& false)/|GatewayPropertiesTest|*WhatNoOtherPromptShares*'
+    '49|Libraries/LibGateway/PrefixCacheModel.h|s/if (own_tokens > 0)/if (own_tokens > 0 \&\& false)/|GatewayPropertiesTest|*CountsUnsharedTokens*'
     '51|Libraries/LibGateway/PlacementPolicy.cpp|s/return occupancy_loss \* s_copy_cost_share/return 0 * occupancy_loss * s_copy_cost_share/|PauseRulesTest|*CopiesOfSharedParts*'
     '52|Libraries/LibPolicy/CrashLedger.cpp|s/needed \&\& leads(digest, evidence, until);/needed;/|CrashLedgerTest|*HoldsNobodyAmongTwo*'
     '53|Libraries/LibPolicy/CrashLedger.cpp|s/return good \&\& crash.time - \*good <= s_good_memory;/return good \&\& crash.time < *good;/|CrashLedgerTest|*HoldsNobodyWhoEndedWell*'
@@ -80,8 +80,8 @@
     '67|Libraries/LibPolicy/ColdShares.cpp|s/return m_ranks.rank_for(server) < senders_for(rate);/return m_ranks.rank_for(server) < 10 * senders_for(rate);/|ColdSharesTest|*NoSecondHasMore*'
     '68|Libraries/LibGateway/RegionRules.cpp|s/return is_open(find(m_by_route, call.route->name)) \&\&/return/|DrainRulesTest|*ARouteIsServed*'
     '69|Libraries/LibEntry/ServerChanges.cpp|s/if (digest_of(list) != changes.digest)/if (false)/|ServerChangesTest|*AnotherList*'
-    '71|Libraries/LibGateway/RequestForwarder.h|s/return held_bytes > settings.held_limit;/return false;/|SlowReadersTest|*HundredsThatReadNothing*'
-    '72|Libraries/LibGateway/CallerConnection.cpp|s/> limits.idle_timeout)$/> 1000 * limits.idle_timeout)/|SlowReadersTest|*NobodyReads*'
+    '71|Libraries/LibGateway/RequestForwarder.h|s/return held_bytes > settings.held_limit;/return false;/|SlowReadersTest|*CallersThatReadNothing*'
+    '72|Libraries/LibGateway/CallerConnection.cpp|s/> limits.idle_timeout)$/> 1000 * limits.idle_timeout)/|SlowReadersTest|*ThatIsNeverRead*'
     '73|Libraries/LibGateway/BackendFleet.cpp|s/if (view->is_drained() \&\& !is_drained)/if (false)/|DrainRulesTest|*TakenForCold*'
     '74|Libraries/LibGateway/BackendFleet.cpp|s/next_send(server, now) > now;/server.record().instance.empty();/|SignalSharingTest|*KeepsALimit*'
     '75|Libraries/LibPolicy/LimitShares.cpp|s/to_ticks(divide(limit.rate).interval);/to_ticks(0 * divide(limit.rate).interval);/|LimitSharesTest|*AnyNumberOfGateways*'
--- a/Tests/LibGateway/AttemptRulesTest.cpp
+++ b/Tests/LibGateway/AttemptRulesTest.cpp
@@ -1,4 +1,5 @@
-// What a gateway may send again, and what the caller may be told: at most once, true refusals, whole answers.
+// Checks when a gateway may resend a request and what it may respond: a request that may have run is sent at most once,
+// "not run" is true, and responses are forwarded complete or visibly aborted.
 #include "GatewayFixture.h"
 
 #include <LibCore/Hashing.h>
@@ -21,7 +22,7 @@
 
 class AttemptRules : public GatewayFixture {
 protected:
-    FakeBackend::Script good()
+    FakeBackend::Script succeeding()
     {
         return [](auto& connection, auto const& request, auto) { connection.write(answer_to(request, 200, "fine")); };
     }
@@ -31,8 +32,8 @@
         return [](auto& connection, auto const&, auto) { connection.reset(); };
     }
 
-    /// Requests that reached any backend server.
-    std::size_t arrivals() const
+    /// Number of requests that reached any backend server.
+    std::size_t arrival_count() const
     {
         std::size_t sum = 0;
         for (auto const& backend : m_backends)
@@ -43,7 +44,7 @@
 
 }
 
-TEST_F(AttemptRules, WhatMayHaveRunIsNotSentAgain)
+TEST_F(AttemptRules, DoesNotResendARequestThatMayHaveRun)
 {
     add_backend("i-1", resetting());
     add_backend("i-2", resetting());
@@ -51,12 +52,12 @@
     auto const answer = answer_of(request("POST", "/plain/", "", "pay"));
     EXPECT_EQ(answer.status, 502);
     EXPECT_FALSE(field_of(answer.head, "Retry-After"));
-    EXPECT_EQ(arrivals(), 1U);
+    EXPECT_EQ(arrival_count(), 1U);
 }
 
-TEST_F(AttemptRules, WhatIsRepeatableGoesElsewhereWithinItsTries)
+TEST_F(AttemptRules, RetriesRepeatableRequestsOnAnotherServer)
 {
-    // Both reset the first request that they see.
+    // The server that receives the first request resets the connection.
     std::atomic<int> seen {0};
     auto const script = [&seen](auto& connection, auto const& text, auto) {
         if (seen++ == 0)
@@ -67,20 +68,20 @@
     add_backend("i-2", script);
     start();
     EXPECT_EQ(answer_of(request("GET", "/safe/")).body, "fine");
-    EXPECT_EQ(arrivals(), 2U);
+    EXPECT_EQ(arrival_count(), 2U);
     EXPECT_EQ(m_backends[0]->count(), 1U);
 }
 
-TEST_F(AttemptRules, TriesAreNotExceeded)
+TEST_F(AttemptRules, NeverExceedsTheNumberOfTries)
 {
     for (int number = 0; number < 4; ++number)
         add_backend("i-" + std::to_string(number), resetting());
     start();
     EXPECT_EQ(answer_of(request("GET", "/safe/")).status, 502);
-    EXPECT_EQ(arrivals(), 2U);
+    EXPECT_EQ(arrival_count(), 2U);
 }
 
-TEST_F(AttemptRules, ARefusalGoesElsewhereAlsoWhereNothingMayRunTwice)
+TEST_F(AttemptRules, RetriesARefusedRequestThatIsNotRepeatable)
 {
     std::atomic<int> seen {0};
     auto const script = [&seen](auto& connection, auto const& text, auto) {
@@ -92,7 +93,7 @@
     EXPECT_EQ(answer_of(request("POST", "/plain/", "", "pay")).body, "fine");
 }
 
-TEST_F(AttemptRules, WhenAllRefuseTheCallerIsToldWhenToComeBack)
+TEST_F(AttemptRules, SendsRetryAfterWhenAllServersRefuse)
 {
     auto const script = [](auto& connection, auto const& text, auto) { connection.write(refusal_to(text, 421)); };
     add_backend("i-1", script);
@@ -104,17 +105,17 @@
     EXPECT_FALSE(field_of(answer.head, "Granitefield-Answer"));
 }
 
-TEST_F(AttemptRules, ARefusalWithoutItsMarkPromisesNothing)
+TEST_F(AttemptRules, HidesARefusalWithoutTheNotRunField)
 {
     add_backend("i-1", [](auto& connection, auto const& text, auto) { connection.write(answer_to(text, 503, "")); });
     start();
     auto const answer = answer_of(request("POST", "/plain/", "", "pay"));
     EXPECT_EQ(answer.status, 502);
     EXPECT_FALSE(field_of(answer.head, "Granitefield-Answer"));
-    EXPECT_EQ(arrivals(), 1U);
+    EXPECT_EQ(arrival_count(), 1U);
 }
 
-TEST_F(AttemptRules, AFailureOfABackendServerPassesWithItsSignature)
+TEST_F(AttemptRules, ForwardsASignedServerError)
 {
     add_backend("i-1", [](auto& connection, auto const& text, auto) { connection.write(answer_to(text, 500, "no")); });
     start();
@@ -124,52 +125,53 @@
     EXPECT_EQ(field_of(answer.head, "Granitefield-Answer"), "sig-1");
 }
 
-struct SpoiledCase {
+struct InvalidResponseCase {
     char const* name;
     std::string (*make)(std::string const& request);
 };
 
-class SpoiledAnswers : public AttemptRules, public ::testing::WithParamInterface<SpoiledCase> { };
+class InvalidResponses : public AttemptRules, public ::testing::WithParamInterface<InvalidResponseCase> { };
 
-TEST_P(SpoiledAnswers, NeverReachACaller)
+TEST_P(InvalidResponses, AreNotForwarded)
 {
     add_backend("i-1", [](auto& connection, auto const& text, auto) { connection.write(GetParam().make(text)); });
     start();
     auto const answer = answer_of(request("POST", "/plain/", "", "pay"));
     EXPECT_EQ(answer.status, 502);
-    EXPECT_EQ(arrivals(), 1U);
+    EXPECT_EQ(arrival_count(), 1U);
 }
 
-INSTANTIATE_TEST_SUITE_P(Cases, SpoiledAnswers,
-    ::testing::Values(SpoiledCase {"AnotherRequests",
+INSTANTIATE_TEST_SUITE_P(Cases, InvalidResponses,
+    ::testing::Values(InvalidResponseCase {"AnotherRequests",
                           [](std::string const&) {
                               return answer_to(
                                   "GET / HTTP/1.1\r\nGranitefield-Request: other\r\n\r\n", 200, "not yours");
                           }},
-        SpoiledCase {"Unsigned",
+        InvalidResponseCase {"Unsigned",
             [](std::string const&) {
                 return std::string("HTTP/1.1 200 OK\r\nGranitefield-Request: r-1\r\nContent-Length: 2\r\n\r\nno");
             }},
-        SpoiledCase {"Encoded",
+        InvalidResponseCase {"Encoded",
             [](std::string const&) {
                 return std::string("HTTP/1.1 200 OK\r\nGranitefield-Request: r-1\r\nGranitefield-Answer: s\r\n"
                                    "Content-Encoding: gzip\r\nContent-Length: 2\r\n\r\nno");
             }},
-        SpoiledCase {"Short",
+        InvalidResponseCase {"Short",
             [](std::string const&) {
                 return std::string("HTTP/1.1 200 OK\r\nGranitefield-Request: r-1\r\nGranitefield-Answer: s\r\n"
                                    "Content-Length: 20\r\n\r\nno");
             }},
-        SpoiledCase {"WrongStatusLine", [](std::string const&) { return std::string("HTTP/9 whatever\r\n\r\nno"); }},
-        SpoiledCase {"NoAnswerAtAll", [](std::string const&) { return std::string(); }},
-        SpoiledCase {"UnfinishedChunks",
+        InvalidResponseCase {
+            "WrongStatusLine", [](std::string const&) { return std::string("HTTP/9 whatever\r\n\r\nno"); }},
+        InvalidResponseCase {"NoAnswerAtAll", [](std::string const&) { return std::string(); }},
+        InvalidResponseCase {"UnfinishedChunks",
             [](std::string const&) {
                 return std::string("HTTP/1.1 200 OK\r\nGranitefield-Request: r-1\r\nGranitefield-Answer: s\r\n"
                                    "Transfer-Encoding: chunked\r\n\r\n2\r\nno\r\n");
             }}),
     [](auto const& info) { return info.param.name; });
 
-TEST_F(AttemptRules, AnAnswerWithoutALengthEndsWithItsConnection)
+TEST_F(AttemptRules, AcceptsAResponseThatEndsWithItsConnection)
 {
     add_backend("i-1", [](auto& connection, auto const&, auto) {
         connection.write("HTTP/1.1 200 OK\r\nGranitefield-Request: r-1\r\nGranitefield-Answer: s\r\n\r\nall of it");
@@ -180,7 +182,7 @@
     EXPECT_EQ(answer.body, "all of it");
 }
 
-TEST_F(AttemptRules, AnAnswerWithoutALengthThatIsResetIsNotWhole)
+TEST_F(AttemptRules, AbortsAResponseWithoutALengthAfterAReset)
 {
     std::promise<void> may_reset;
     add_backend("i-1", [&](auto& connection, auto const& text, auto) {
@@ -198,16 +200,16 @@
     EXPECT_FALSE(caller->read_answer().is_whole);
 }
 
-TEST_F(AttemptRules, AnEarlyAnswerCounts)
+TEST_F(AttemptRules, AcceptsAResponseBeforeTheRequestIsFullySent)
 {
-    // It answers and closes without reading on; the caller's long body is behind the request's head.
+    // The server responds and closes after the head of the request, without reading the long body.
     add_backend(
         "i-1", [](auto& connection, auto const& text, auto) { connection.write(answer_to(text, 200, "early")); });
     start();
     EXPECT_EQ(answer_of(request("POST", "/plain/", "", std::string(300'000, 'x'))).body, "early");
 }
 
-TEST_F(AttemptRules, EventsPassAtOnceAndWhole)
+TEST_F(AttemptRules, ForwardsEachEventAtOnceAndComplete)
 {
     std::promise<void> may_finish;
     add_backend("i-1", [&](auto& connection, auto const& text, auto) {
@@ -224,54 +226,54 @@
     EXPECT_EQ(answer.body, event(1) + event(2) + event(3));
 }
 
-TEST_F(AttemptRules, AStreamGoesOnElsewhereEventByEvent)
+TEST_F(AttemptRules, ResumesAStreamOnAnotherServerWithoutDuplicateEvents)
 {
     std::atomic<int> seen {0};
-    std::promise<void> may_break;
+    std::promise<void> may_reset;
     auto const script = [&](auto& connection, auto const& text, auto) {
         connection.write(stream_head_to(text));
         if (seen++ == 0) {
             connection.write(chunk(event(1) + event(2) + "id: 3\ndata: half"));
-            may_break.get_future().wait();
+            may_reset.get_future().wait();
             return connection.reset();
         }
         EXPECT_EQ(field_of(text, "Last-Event-ID"), "2");
-        // One event too early, as a server that counts otherwise might.
+        // Starts one event too early, like a server that numbers its events differently.
         connection.write(chunk(event(2) + event(3)) + chunk(event(4)) + "0\r\n\r\n");
     };
     add_backend("i-1", script);
     add_backend("i-2", script);
     start();
     auto const caller = call(request("POST", "/resumable/", "", "ask"));
-    // A reset may overtake what was written before it, so the first events are waited for.
+    // A reset may overtake bytes that were written before it, so this waits for the first events.
     ASSERT_TRUE(caller->read_body_bytes(event(1).size() + event(2).size()));
-    may_break.set_value();
+    may_reset.set_value();
     auto const answer = caller->read_answer();
     EXPECT_TRUE(answer.is_whole);
     EXPECT_EQ(answer.body, event(1) + event(2) + event(3) + event(4));
-    EXPECT_EQ(arrivals(), 2U);
+    EXPECT_EQ(arrival_count(), 2U);
 }
 
-TEST_F(AttemptRules, AStreamThatMayNotGoOnIsVisiblyCut)
+TEST_F(AttemptRules, AbortsAStreamThatIsNotResumable)
 {
-    std::promise<void> may_break;
+    std::promise<void> may_close;
     auto const script = [&](auto& connection, auto const& text, auto) {
         connection.write(stream_head_to(text) + chunk(event(1)));
-        may_break.get_future().wait();
+        may_close.get_future().wait();
     };
     add_backend("i-1", script);
     add_backend("i-2", script);
     start();
     auto const caller = call(request("POST", "/stream/", "", "ask"));
     ASSERT_TRUE(caller->read_body_bytes(event(1).size()));
-    may_break.set_value();
+    may_close.set_value();
     auto const answer = caller->read_answer();
     EXPECT_FALSE(answer.is_whole);
     EXPECT_EQ(answer.body, event(1));
-    EXPECT_EQ(arrivals(), 1U);
+    EXPECT_EQ(arrival_count(), 1U);
 }
 
-TEST_F(AttemptRules, WhenTheCallerLeavesItsRunEnds)
+TEST_F(AttemptRules, CancelsTheAttemptWhenTheCallerDisconnects)
 {
     std::promise<bool> is_closed;
     add_backend("i-1", [&](auto& connection, auto const& text, auto) {
@@ -283,27 +285,27 @@
     ASSERT_TRUE(caller->read_body_bytes(event(1).size()));
     caller->close();
     EXPECT_TRUE(is_closed.get_future().get());
-    EXPECT_EQ(arrivals(), 1U);
+    EXPECT_EQ(arrival_count(), 1U);
 }
 
-TEST_F(AttemptRules, ARequestHasItsAnswerByItsTimeLimit)
+TEST_F(AttemptRules, RespondsAtTheTimeLimitOfTheRoute)
 {
     add_route("brief", {{"path-prefix", "/brief/"}, {"time-limit", "200ms"}});
     std::promise<bool> is_closed;
     add_backend(
         "i-1", [&](auto& connection, auto const&, auto) { is_closed.set_value(connection.wait_until_closed()); });
     start();
-    auto const begun = Core::monotonic_now();
+    auto const started_at = Core::monotonic_now();
     auto const answer = answer_of(request("POST", "/brief/", "", "pay"));
     EXPECT_EQ(answer.status, 504);
-    EXPECT_GE(Core::elapsed(begun, Core::monotonic_now()).count(), 200);
-    // The run is ended as well.
+    EXPECT_GE(Core::elapsed(started_at, Core::monotonic_now()).count(), 200);
+    // The attempt at the backend server is cancelled as well.
     EXPECT_TRUE(is_closed.get_future().get());
 }
 
-TEST_F(AttemptRules, TheCallersOwnTimeGoesBeforeTheRoutes)
+TEST_F(AttemptRules, UsesTheShorterTimeLimitOfTheCaller)
 {
-    add_backend("i-1", good());
+    add_backend("i-1", succeeding());
     start();
     EXPECT_EQ(answer_of(request("GET", "/plain/", "Granitefield-Remaining-Ms: 900\r\n")).status, 200);
     auto const remaining = std::stoi(*field_of(m_backends[0]->requests().at(0), "Granitefield-Remaining-Ms"));
@@ -311,38 +313,38 @@
     EXPECT_GT(remaining, 0);
 }
 
-TEST_F(AttemptRules, AServerThatTakesNoConnectionIsPassedOver)
+TEST_F(AttemptRules, SkipsAServerThatAcceptsNoConnection)
 {
     FullListener const full;
     m_settings.runs.connect_limit = Core::Milliseconds(100);
     m_servers_list.servers.push_back(full.entry("i-0"));
-    add_backend("i-1", good());
+    add_backend("i-1", succeeding());
     start();
     for (int round = 0; round < 4; ++round)
         EXPECT_EQ(answer_of(request("POST", "/plain/", "", "pay")).status, 200);
-    EXPECT_EQ(arrivals(), 4U);
+    EXPECT_EQ(arrival_count(), 4U);
 }
 
-TEST_F(AttemptRules, NobodyIsRefusedWhileAServerServesAfterAQuarterOfThemDied)
+TEST_F(AttemptRules, RefusesNoRequestAfterAQuarterOfTheServersDied)
 {
-    constexpr std::size_t count = 40;
-    constexpr std::size_t dead = count / 4;
-    for (std::size_t number = 0; number < count; ++number)
+    constexpr std::size_t server_count = 40;
+    constexpr std::size_t dead_count = server_count / 4;
+    for (std::size_t number = 0; number < server_count; ++number)
         add_backend(Core::concat("i-", number + 10),
             [](auto& connection, auto const& text, auto) { connection.write(answer_to(text, 200, "fine")); });
     start();
-    // They are in the list still, before all others in its order, and have nothing open.
-    m_backends.erase(m_backends.begin(), m_backends.begin() + dead);
+    // The dead servers are still listed, come first in the order and have no open requests.
+    m_backends.erase(m_backends.begin(), m_backends.begin() + dead_count);
     constexpr unsigned requests = 200;
     for (unsigned number = 0; number < requests; ++number)
         ASSERT_EQ(answer_of(request("POST", "/plain/", "", "pay")).status, 200) << number;
-    EXPECT_EQ(arrivals(), requests);
-    // Each dead one is asked once, and again after the time for which it is left alone.
-    EXPECT_GE(counter("granitefield_gateway_unreachable_total"), dead);
-    EXPECT_LE(counter("granitefield_gateway_unreachable_total"), dead * 3);
+    EXPECT_EQ(arrival_count(), requests);
+    // Each dead server is tried once, and again after the time for which it is avoided.
+    EXPECT_GE(counter("granitefield_gateway_unreachable_total"), dead_count);
+    EXPECT_LE(counter("granitefield_gateway_unreachable_total"), dead_count * 3);
 }
 
-TEST_F(AttemptRules, WhatWaitsAtAServerThatOthersFoundDeadGoesElsewhere)
+TEST_F(AttemptRules, MovesARequestFromAServerThatPeersReportDead)
 {
     using Udp = boost::asio::ip::udp;
     boost::asio::io_context loop;
@@ -350,7 +352,7 @@
     m_membership.set_load_members({{"127.0.0.1:1", "here", 100, 1},
         {{Core::concat("127.0.0.1:", relay.local_endpoint().port()), "here", 500, 2}}});
     m_settings.load_address = *Core::Address::from_string("127.0.0.1:0");
-    // Silence alone would never end it.
+    // Keeps the silence alone from ending the attempt.
     m_settings.runs.stall_min_target_share = 100;
     std::atomic<int> seen {0};
     auto const script = [&seen](auto& connection, auto const& text, auto) {
@@ -367,7 +369,7 @@
     ASSERT_TRUE(report.ParseFromArray(
         buffer.data(), static_cast<int>(relay.receive_from(boost::asio::buffer(buffer), gateway))));
     auto const caller = call(request("GET", "/safe/"));
-    while (arrivals() == 0)
+    while (arrival_count() == 0)
         std::this_thread::yield();
     granitefield::protocol::LoadDatagram datagram;
     datagram.set_protocol_version(Protocol::s_protocol_version);
@@ -378,12 +380,12 @@
     part.add_suspected(Core::hash_bytes(m_backends[0]->count() == 1 ? "i-1" : "i-2"));
     relay.send_to(boost::asio::buffer(datagram.SerializeAsString()), gateway);
     EXPECT_EQ(caller->read_answer().body, "fine");
-    EXPECT_EQ(arrivals(), 2U);
+    EXPECT_EQ(arrival_count(), 2U);
 }
 
-TEST_F(AttemptRules, WhatWasGivenUpBeforeItWasSentIsClosed)
+TEST_F(AttemptRules, ClosesTheConnectionOfAnUnsentRequestAtTheTimeLimit)
 {
-    // The connection would come up after the request was refused as not run; it must not send it then.
+    // The connection could be established after the request was refused as not run; the request must not be sent then.
     FullListener const full;
     add_route("brief", {{"path-prefix", "/brief/"}, {"time-limit", "100ms"}});
     m_settings.runs.connect_limit = Core::Milliseconds(5'000);
@@ -395,18 +397,18 @@
     EXPECT_EQ(status["backend-servers"][0]["open"], 0);
 }
 
-TEST_F(AttemptRules, WithoutAnyServerTheRefusalIsTrueAndQuick)
+TEST_F(AttemptRules, RefusesQuicklyWithoutAnyServer)
 {
     start();
-    auto const begun = Core::monotonic_now();
+    auto const started_at = Core::monotonic_now();
     auto const answer = answer_of(request("POST", "/plain/", "", "pay"));
     EXPECT_EQ(answer.status, 503);
     EXPECT_TRUE(field_of(answer.head, "Retry-After"));
-    // A quarter of the target of a second, and a tick of the loop.
-    EXPECT_LT(Core::elapsed(begun, Core::monotonic_now()).count(), 900);
+    // A quarter of the target of one second, plus a tick of the event loop.
+    EXPECT_LT(Core::elapsed(started_at, Core::monotonic_now()).count(), 900);
 }
 
-TEST_F(AttemptRules, WhatComesBeforeTheFirstTableWaitsForItAShortTime)
+TEST_F(AttemptRules, HoldsEarlyRequestsUntilTheFirstTable)
 {
     add_backend(
         "i-1", [](auto& connection, auto const& text, auto) { connection.write(answer_to(text, 200, "fine")); });
@@ -414,19 +416,19 @@
     auto const early = call(request("POST", "/plain/"));
     auto const gone = call(request("POST", "/plain/"));
     gone->close();
-    // Whoever has little time is told early enough to go elsewhere.
-    auto const begun = Core::monotonic_now();
+    // A caller with a short timeout is refused early enough to use another gateway.
+    auto const started_at = Core::monotonic_now();
     auto const refusal = answer_of(request("POST", "/plain/", "Granitefield-Remaining-Ms: 200\r\n"));
     EXPECT_EQ(refusal.status, 503);
     EXPECT_TRUE(field_of(refusal.head, "Retry-After"));
-    EXPECT_LT(Core::elapsed(begun, Core::monotonic_now()), Gateway::EarlyRequests::s_longest_wait);
+    EXPECT_LT(Core::elapsed(started_at, Core::monotonic_now()), Gateway::EarlyRequests::s_longest_wait);
     publish_table();
     publish_servers();
     EXPECT_EQ(early->read_answer().body, "fine");
-    EXPECT_EQ(arrivals(), 1U);
+    EXPECT_EQ(arrival_count(), 1U);
 }
 
-TEST_F(AttemptRules, WhatComesBeforeTheFirstTableIsRefusedWhereThatDoesNotCome)
+TEST_F(AttemptRules, RefusesEarlyRequestsWhenNoTableArrives)
 {
     start_without_table();
     auto const refusal = answer_of(request("POST", "/plain/"));
@@ -434,21 +436,21 @@
     EXPECT_TRUE(field_of(refusal.head, "Retry-After"));
 }
 
-TEST_F(AttemptRules, AServerThatComesBackInTimeTakesWhatWaits)
+TEST_F(AttemptRules, SendsAWaitingRequestToAServerThatBecomesAvailable)
 {
     m_settings.runs.hold_limit = Core::Milliseconds(5'000);
     set(Table::SheetName::Classes, "plain", {{"first-token", "20s"}});
     start();
     auto const caller = call(request("POST", "/plain/", "", "pay"));
-    add_backend("i-1", good());
+    add_backend("i-1", succeeding());
     publish_servers();
     EXPECT_EQ(caller->read_answer().body, "fine");
 }
 
-TEST_F(AttemptRules, ALeavingServerGetsNothingNew)
+TEST_F(AttemptRules, SendsNoNewRequestsToALeavingServer)
 {
-    add_backend("i-1", good());
-    add_backend("i-2", good());
+    add_backend("i-1", succeeding());
+    add_backend("i-2", succeeding());
     start();
     m_servers_list.servers[0].state = Table::BackendServerState::Leaving;
     publish_servers();
@@ -457,7 +459,7 @@
     EXPECT_EQ(m_backends[0]->count(), 0U);
 }
 
-TEST_F(AttemptRules, ThePlannedStopFinishesWhatRunsAndRefusesWhatItWouldCut)
+TEST_F(AttemptRules, FinishesOpenStreamsAndRefusesNewOnesDuringADrain)
 {
     m_settings.drain_notice = Core::Milliseconds(100);
     m_settings.drain_limit = Core::Milliseconds(3'000);
@@ -472,11 +474,11 @@
     start();
     auto const stream = call(request("POST", "/stream/", "", "ask"));
     ASSERT_TRUE(stream->read_body_bytes(event(1).size()));
-    auto const waiting = call(request("GET", "/plain/"));
-    EXPECT_EQ(waiting->read_answer().status, 200);
+    auto const kept_alive = call(request("GET", "/plain/"));
+    EXPECT_EQ(kept_alive->read_answer().status, 200);
     m_gateway->drain();
-    // The kept connection is closed when the notice is over; from then on a stream would be cut.
-    EXPECT_TRUE(waiting->is_closed_by_peer());
+    // The idle connection is closed after the drain notice; from then on a new stream would be cut off.
+    EXPECT_TRUE(kept_alive->is_closed_by_peer());
     EXPECT_FALSE(m_gateway->is_ready());
     auto const refused = answer_of(request("POST", "/stream/", "", "ask"));
     EXPECT_EQ(refused.status, 503);
@@ -489,7 +491,7 @@
     m_gateway->wait_until_drained();
 }
 
-TEST_F(AttemptRules, TheRetryBudgetIsKept)
+TEST_F(AttemptRules, KeepsTheRetryBudget)
 {
     m_settings.runs.retries = {0, 16, Core::Milliseconds(600'000)};
     add_backend("i-1", resetting());
@@ -498,21 +500,22 @@
     constexpr std::size_t requests = 30;
     for (std::size_t number = 0; number < requests; ++number)
         EXPECT_EQ(answer_of(request("GET", "/safe/")).status, 502);
-    // 16 for the fleet in ten minutes: an eighth of it, of which seven tenths are used, and one to begin with.
-    EXPECT_LE(arrivals(), requests + 2);
+    // 16 retries for the fleet in ten minutes: this gateway may spend an eighth of them, of which seven tenths are
+    // available, and one initial retry.
+    EXPECT_LE(arrival_count(), requests + 2);
     EXPECT_GT(counter("granitefield_gateway_retries_denied_total"), 0U);
 }
 
-TEST_F(AttemptRules, AFetchThatFailsDoesNotTakeTheNextTryWithIt)
+TEST_F(AttemptRules, RetriesWithoutAFetchAfterAFailedFetch)
 {
-    // The engines of this test break off what they are to fetch for: the one that they are to fetch from is gone.
+    // The engines reset the connection for requests with a fetch, as if the engine to fetch from were gone.
     auto const script = [](FakeConnection& connection, std::string const& request, std::size_t) {
         if (field_of(request, "Granitefield-Prompt-Source"))
             return connection.reset();
         connection.write(stream_head_to(request) + chunk(event(1)) + "0\r\n\r\n");
     };
     m_settings.dialect.prompt_source = "Granitefield-Prompt-Source";
-    // Its prompts wait longer than callers with a near target are let wait; here all of them are to be taken.
+    // A distant target, so that no request is rejected because of its predicted wait.
     set(Table::SheetName::Classes, "resumable", {{"first-token", "40s"}});
     for (auto const* instance : {"i-1", "i-2", "i-3"})
         add_backend(instance, script);
@@ -520,12 +523,12 @@
     auto const prompt = [](std::string const& own) {
         return request("POST", "/resumable/x", "Granitefield-Prompt-Parts: a:4000,b:4000," + own + ":100\r\n", "body");
     };
-    // The first leaves its prompt at its home; a caller's own choice of a source counts for nothing.
+    // The first request leaves its prompt at its home; a source chosen by the caller is ignored.
     EXPECT_EQ(answer_of(prompt("o1")).status, 200);
-    // A queue at the home sends the next ones elsewhere, to fetch from it.
+    // A queue at the home sends further requests to other engines, which fetch from it.
     std::vector<std::unique_ptr<RawCaller>> callers;
-    constexpr unsigned count = 40;
-    for (unsigned number = 0; number < count; ++number)
+    constexpr unsigned caller_count = 40;
+    for (unsigned number = 0; number < caller_count; ++number)
         callers.push_back(call(prompt("p" + std::to_string(number) + ":20000,q")));
     for (auto const& caller : callers) {
         auto const answer = caller->read_answer();
--- a/Tests/LibGateway/BackoffRulesTest.cpp
+++ b/Tests/LibGateway/BackoffRulesTest.cpp
@@ -1,4 +1,4 @@
-// Guards against requests during the Retry-After of a server, and against avoiding the server for longer.
+// Checks that a server gets no requests during its Retry-After, and is avoided no longer than that.
 #include "GatewayFixture.h"
 
 #include <atomic>
@@ -12,11 +12,11 @@
 
 namespace {
 
-constexpr int s_many = 20;
+constexpr int s_request_count = 20;
 
 class BackoffRules : public GatewayFixture {
 protected:
-    /// Rejects with that Retry-After for as long as `m_rejects`.
+    /// Adds a server that rejects requests with this Retry-After while `m_rejects` is set.
     FakeBackend& add_rejecting_backend(std::string const& instance, std::string const& retry_after)
     {
         return add_backend(instance, [this, retry_after](auto& connection, auto const& text, auto) {
@@ -34,7 +34,7 @@
             instance, [](auto& connection, auto const& text, auto) { connection.write(answer_to(text, 200, "fine")); });
     }
 
-    [[nodiscard]] RawCaller::Answer ask() const { return answer_of(request("GET", "/safe/")); }
+    [[nodiscard]] RawCaller::Answer send_request() const { return answer_of(request("GET", "/safe/")); }
     [[nodiscard]] static double retry_after_of(RawCaller::Answer const& answer)
     {
         return std::stod(field_of(answer.head, "Retry-After").value_or("-1"));
@@ -51,38 +51,38 @@
     auto const& other = add_good_backend("i-2");
     start();
     while (rejecting.count() == 0)
-        ASSERT_EQ(ask().status, 200);
+        ASSERT_EQ(send_request().status, 200);
     auto const before = other.count();
-    for (int number = 0; number < s_many; ++number)
-        EXPECT_EQ(ask().status, 200);
+    for (int number = 0; number < s_request_count; ++number)
+        EXPECT_EQ(send_request().status, 200);
     EXPECT_EQ(rejecting.count(), 1U);
-    EXPECT_EQ(other.count(), before + s_many);
+    EXPECT_EQ(other.count(), before + s_request_count);
 }
 
-TEST_F(BackoffRules, TellsCallersWhenTheFirstBackoffEnds)
+TEST_F(BackoffRules, SendsRetryAfterOfTheFirstBackoffToEnd)
 {
     auto const& first = add_rejecting_backend("i-1", "30.5");
     auto const& second = add_rejecting_backend("i-2", "60");
     start();
     while (first.count() == 0 || second.count() == 0)
-        EXPECT_EQ(ask().status, 503);
-    auto const begun = Core::monotonic_now();
-    auto const answer = ask();
+        EXPECT_EQ(send_request().status, 503);
+    auto const started_at = Core::monotonic_now();
+    auto const answer = send_request();
     EXPECT_EQ(answer.status, 503);
-    EXPECT_LT(Core::elapsed(begun, Core::monotonic_now()), 125ms);
+    EXPECT_LT(Core::elapsed(started_at, Core::monotonic_now()), 125ms);
     EXPECT_GE(retry_after_of(answer), 29);
-    // Whole seconds, and up to one more by the request's rank.
+    // Rounded up to whole seconds, plus up to one second by the request's priority.
     EXPECT_LE(retry_after_of(answer), 32);
     EXPECT_EQ(first.count() + second.count(), 2U);
 }
 
-TEST_F(BackoffRules, TellsTheRejectedCallerWhenTheBackoffEnds)
+TEST_F(BackoffRules, SendsRetryAfterOfTheBackoffToTheRejectedCaller)
 {
-    // The only try is the one that the server rejects.
+    // The only attempt is the one that the server rejects.
     set(Table::SheetName::Routes, "safe", {{"tries", "1"}});
     add_rejecting_backend("i-1", "30");
     start();
-    auto const answer = ask();
+    auto const answer = send_request();
     EXPECT_EQ(answer.status, 503);
     EXPECT_GE(retry_after_of(answer), 29);
     EXPECT_LE(retry_after_of(answer), 31);
@@ -92,12 +92,12 @@
 {
     auto const& rejecting = add_rejecting_backend("i-1", "0.2");
     start();
-    EXPECT_EQ(ask().status, 503);
+    EXPECT_EQ(send_request().status, 503);
     m_rejects = false;
-    auto const begun = Core::monotonic_now();
-    // The class's target is one second, of which a quarter may be waited.
-    EXPECT_EQ(ask().status, 200);
-    EXPECT_GE(Core::elapsed(begun, Core::monotonic_now()), 150ms);
+    auto const started_at = Core::monotonic_now();
+    // A request may wait for a quarter of its class's target of one second.
+    EXPECT_EQ(send_request().status, 200);
+    EXPECT_GE(Core::elapsed(started_at, Core::monotonic_now()), 150ms);
     EXPECT_EQ(rejecting.count(), 2U);
 }
 
@@ -105,9 +105,9 @@
 {
     auto const& rejecting = add_rejecting_backend("i-1", "0.2");
     start();
-    EXPECT_EQ(ask().status, 503);
+    EXPECT_EQ(send_request().status, 503);
     std::vector<std::unique_ptr<RawCaller>> callers;
-    for (int number = 0; number < s_many; ++number)
+    for (int number = 0; number < s_request_count; ++number)
         callers.push_back(call(request("GET", "/safe/")));
     for (auto const& caller : callers)
         EXPECT_EQ(caller->read_answer().status, 503);
@@ -116,12 +116,12 @@
 
 TEST_F(BackoffRules, SendsTheMostUrgentWaitingRequestFirst)
 {
-    // Long enough that both may wait.
+    // Long enough for both requests to wait.
     for (auto const* name : {"safe", "keyed"})
         set(Table::SheetName::Classes, name, {{"first-token", "4s"}});
     auto const& rejecting = add_rejecting_backend("i-1", "0.2");
     start();
-    EXPECT_EQ(ask().status, 503);
+    EXPECT_EQ(send_request().status, 503);
     m_rejects = false;
     auto const ordinary = call(request("GET", "/safe/"));
     auto const urgent = call(request("GET", "/keyed/", std::string("Authorization: Bearer ") + s_key + "\r\n"));
@@ -135,8 +135,8 @@
 {
     add_rejecting_backend("i-1", "0.05");
     start();
-    for (int number = 0; number < s_many; ++number)
-        static_cast<void>(ask());
+    for (int number = 0; number < s_request_count; ++number)
+        static_cast<void>(send_request());
     auto const status = nlohmann::json::parse(m_gateway->status());
     EXPECT_EQ(status["backend-servers"][0]["failure-rate"], 0);
     EXPECT_EQ(status["backend-servers"][0]["avoided"], false);
--- a/Tests/LibGateway/CallerConnectionTest.cpp
+++ b/Tests/LibGateway/CallerConnectionTest.cpp
@@ -1,4 +1,4 @@
-// What a connection holds for a caller that reads more slowly than its answer is produced.
+// Checks the memory held for a caller that reads more slowly than its response is produced.
 #include <LibGateway/CallerConnection.h>
 
 #include <algorithm>
@@ -31,8 +31,8 @@
 
 }
 
-// The kernel's buffers are small here, so that they do not take what the connection should hold.
-TEST(CallerConnection, ReleasesWhatASlowCallerHasReadWhileItNeverCatchesUp)
+// Uses small kernel buffers, so that they do not absorb what the connection should hold.
+TEST(CallerConnection, ReleasesWrittenBytesForACallerThatNeverCatchesUp)
 {
     constexpr std::size_t window = 256U << 10U;
     constexpr std::size_t total = 16U << 20U;
@@ -47,21 +47,21 @@
     IgnoringHandler handler;
     auto const connection = std::make_shared<CallerConnection>(std::move(accepted), handler);
 
-    std::string const piece(8U << 10U, 'x');
-    std::string taken(16U << 10U, ' ');
-    std::size_t most_held = 0;
+    std::string const chunk_text(8U << 10U, 'x');
+    std::string received(16U << 10U, ' ');
+    std::size_t max_held = 0;
     connection->start_response(200, {});
     for (std::size_t read = 0; read < total;) {
         while (connection->pending_bytes() < window)
-            connection->append(piece);
-        most_held = std::max(most_held, connection->held_bytes());
-        read += caller.read_some(boost::asio::buffer(taken));
+            connection->append(chunk_text);
+        max_held = std::max(max_held, connection->held_bytes());
+        read += caller.read_some(boost::asio::buffer(received));
         loop.poll();
         loop.restart();
         ASSERT_GT(connection->pending_bytes(), 0U);
     }
-    // The window, as much again that was read and not released yet, and the string's room to grow.
-    EXPECT_LE(most_held, 4 * window);
+    // The window, as many written bytes that are not released yet, and the spare capacity of the string.
+    EXPECT_LE(max_held, 4 * window);
 }
 
 }
--- a/Tests/LibGateway/GatewayPropertiesTest.cpp
+++ b/Tests/LibGateway/GatewayPropertiesTest.cpp
@@ -1,4 +1,4 @@
-// Properties of the gateway's parts over random inputs.
+// Property tests of the gateway's parts with random input.
 #include <LibCore/Text.h>
 #include <LibGateway/BackendFleet.h>
 #include <LibHTTP/AnswerParser.h>
@@ -17,23 +17,23 @@
 
 namespace {
 
-/// Cuts the text at random places and gives the pieces one after the other.
-template <typename Take>
-void in_pieces(std::string const& text, Take take)
+/// Splits the text at random places and passes on the chunks one after the other.
+template <typename Consume>
+void feed_in_chunks(std::string const& text, Consume consume)
 {
-    std::string waiting;
+    std::string pending;
     std::size_t at = 0;
     while (at < text.size()) {
         auto const length = *rc::gen::inRange<std::size_t>(1, 40);
-        waiting += text.substr(at, length);
+        pending += text.substr(at, length);
         at += length;
-        waiting.erase(0, take(waiting));
+        pending.erase(0, consume(pending));
     }
 }
 
 std::string random_bytes()
 {
-    // Bytes that parsers look at are frequent.
+    // Bytes with a meaning for the parsers occur more often.
     auto const byte = rc::gen::weightedOneOf<char>(
         {{3, rc::gen::element('\r', '\n', ':', ' ', '0', '1', 'a', ';', ',')}, {1, rc::gen::arbitrary<char>()}});
     return *rc::gen::container<std::string>(byte);
@@ -41,55 +41,55 @@
 
 }
 
-RC_GTEST_PROP(RequestParser, GivesTheSameHoweverTheTextIsCut, ())
+RC_GTEST_PROP(RequestParser, ParsesARequestSplitAnywhere, ())
 {
     auto const body = *rc::gen::container<std::string>(rc::gen::arbitrary<char>());
     auto const text = "POST /a?b=%20 HTTP/1.1\r\nHost: h\r\nX: y\r\nContent-Length: " + std::to_string(body.size())
         + "\r\n\r\n" + body + "GET /next";
     HTTP::RequestParser parser({});
-    std::size_t taken = 0;
-    in_pieces(text, [&](std::string const& waiting) {
-        auto const count = parser.is_complete() ? 0 : parser.add(waiting);
-        taken += count;
+    std::size_t consumed = 0;
+    feed_in_chunks(text, [&](std::string const& pending) {
+        auto const count = parser.is_complete() ? 0 : parser.add(pending);
+        consumed += count;
         return count;
     });
     RC_ASSERT(parser.is_complete());
     RC_ASSERT(parser.head().target == "/a?b=%20");
     RC_ASSERT(parser.body() == body);
-    RC_ASSERT(taken == text.size() - std::string("GET /next").size());
+    RC_ASSERT(consumed == text.size() - std::string("GET /next").size());
 }
 
-RC_GTEST_PROP(RequestParser, SurvivesAnything, ())
+RC_GTEST_PROP(RequestParser, HandlesArbitraryInput, ())
 {
     HTTP::RequestParser parser({200, 200});
     auto const text
         = *rc::gen::element<std::string>("", "GET / HTTP/1.1\r\n", "POST / HTTP/1.1\r\nHost: h\r\n") + random_bytes();
-    in_pieces(text, [&](std::string const& waiting) {
+    feed_in_chunks(text, [&](std::string const& pending) {
         if (parser.problem() != HTTP::RequestProblem::None || parser.is_complete())
             return std::size_t {0};
-        auto const count = parser.add(waiting);
-        RC_ASSERT(count <= waiting.size());
+        auto const count = parser.add(pending);
+        RC_ASSERT(count <= pending.size());
         return count;
     });
     RC_ASSERT(parser.body().size() <= 200U);
 }
 
-RC_GTEST_PROP(AnswerParser, SurvivesAnything, ())
+RC_GTEST_PROP(AnswerParser, HandlesArbitraryInput, ())
 {
     HTTP::AnswerParser parser(HTTP::BodyRule::Normal);
     auto const text
         = *rc::gen::element<std::string>("", "HTTP/1.1 200 OK\r\n", "HTTP/1.1 100 X\r\n\r\nHTTP/1.1 200 OK\r\n")
         + random_bytes();
-    in_pieces(text, [&](std::string const& waiting) {
-        auto const count = parser.add(waiting);
-        RC_ASSERT(count <= waiting.size());
+    feed_in_chunks(text, [&](std::string const& pending) {
+        auto const count = parser.add(pending);
+        RC_ASSERT(count <= pending.size());
         return count;
     });
     parser.add_end();
     RC_ASSERT(!(parser.is_broken() && parser.is_complete()));
 }
 
-RC_GTEST_PROP(EventFramer, GivesEveryEventOnceHoweverTheStreamIsCut, ())
+RC_GTEST_PROP(EventFramer, EmitsEachEventOnceForAnySplit, ())
 {
     auto const count = *rc::gen::inRange(0U, 20U);
     auto const skipped = *rc::gen::inRange(0U, 20U);
@@ -105,16 +105,16 @@
     HTTP::EventFramer framer;
     if (skipped > 0)
         framer.set_last_id(skipped);
-    std::string given;
-    in_pieces(text + "id: 99\ndata: half", [&](std::string const& waiting) {
-        given += framer.add(waiting);
-        return waiting.size();
+    std::string emitted;
+    feed_in_chunks(text + "id: 99\ndata: half", [&](std::string const& pending) {
+        emitted += framer.add(pending);
+        return pending.size();
     });
-    RC_ASSERT(given == expected);
+    RC_ASSERT(emitted == expected);
     RC_ASSERT(framer.has_partial_event());
 }
 
-RC_GTEST_PROP(FleetRetryBudget, KeepsTheFleetInsideItsAllowanceInEveryWindow, ())
+RC_GTEST_PROP(FleetRetryBudget, StaysWithinTheAllowanceInEveryWindow, ())
 {
     using namespace std::chrono_literals;
     Policy::RetryAllowance const allowance {0.2, 54, 10s};
@@ -130,7 +130,7 @@
         auto& budget = budgets[*rc::gen::inRange<std::size_t>(0, entries)];
         budget.note_first_send(now);
         requests.push_back(now);
-        for (int wanted = 0; wanted < 3; ++wanted) {
+        for (int attempt = 0; attempt < 3; ++attempt) {
             if (budget.try_spend(now))
                 retries.push_back(now);
         }
@@ -139,7 +139,8 @@
             retries.pop_front();
         while (!requests.empty() && requests.front() < begin - allowance.window)
             requests.pop_front();
-        // Requests of the window, of the one before it or of the one half a window before count, whichever are most.
+        // The budget counts the requests of the current window, of the previous one or of the one half a window
+        // earlier, whichever are most.
         auto const requests_until = [&](Core::MonotonicTime end) {
             return std::ranges::count_if(
                 requests, [&](auto const& time) { return time > end - allowance.window && time <= end; });
@@ -151,13 +152,13 @@
     }
 }
 
-TEST(FleetRetryBudget, WhatAWindowEarnedMayBeSpentWhenManyRequestsNeedItAtOnce)
+TEST(FleetRetryBudget, AllowsABurstOfRetriesEarnedInAWindow)
 {
     using namespace std::chrono_literals;
     constexpr std::size_t entries = 103;
     Policy::FleetRetryBudget budget({0.2, 246, 10s});
     budget.set_entry_count(entries);
-    // An entry's part of 430 requests a second, and then a crash that breaks off eight of them.
+    // One entry's share of 430 requests per second, followed by a crash that breaks eight requests.
     Core::MonotonicTime now {std::chrono::hours(1)};
     for (int request = 0; request < 84; ++request) {
         budget.note_first_send(now);
@@ -167,11 +168,11 @@
     for (int broken = 0; broken < 8; ++broken)
         allowed += budget.try_spend(now) ? 1 : 0;
     EXPECT_GE(allowed, 6U);
-    // What was spent is earned again by later requests only.
+    // Spent retries are earned again by later requests only.
     EXPECT_LE(budget.balance(), 1);
 }
 
-TEST(PrefixCacheModel, WhatNoOtherPromptSharesTakesMemoryAsWell)
+TEST(PrefixCacheModel, CountsUnsharedTokensAgainstTheCapacity)
 {
     PrefixCacheModel model;
     model.set_capacity(10'000);
@@ -183,7 +184,7 @@
     EXPECT_EQ(model.cached_tokens(shared), 0U);
 }
 
-RC_GTEST_PROP(PrefixCacheModel, NeverRemembersMoreThanItsCapacity, ())
+RC_GTEST_PROP(PrefixCacheModel, NeverExceedsItsCapacity, ())
 {
     PrefixCacheModel model;
     model.set_capacity(1'000);
--- a/Tests/LibGateway/OverloadTest.cpp
+++ b/Tests/LibGateway/OverloadTest.cpp
@@ -1,4 +1,4 @@
-// More work than the engines can do: what callers get at 0.7, 1.0, 1.3 and 2 times of it, with and without refusals.
+// Simulates 0.7, 1.0, 1.3 and 2 times the load that the engines can serve, with and without admission control.
 #include "EngineSimulation.h"
 #include "NullDescriptor.h"
 
@@ -25,21 +25,21 @@
 Core::MonotonicTime const s_start {1h};
 constexpr std::size_t s_engines = 12;
 
-/// A kind of request, as the sheet of a deployment gives it.
+/// A kind of request, with numbers from a deployment's sheet.
 struct Kind {
     char const* name;
     char const* tier;
     char const* first_token;
     char const* pause;
-    double per_engine_second;
+    double requests_per_engine_second;
     std::uint32_t shared_tokens;
-    unsigned subjects;
+    unsigned subject_count;
     std::uint32_t own_tokens;
     std::uint32_t output_tokens;
     SimulatedTime patience;
     SimulatedTime target;
     SimulatedTime pause_target;
-    /// Of the logarithms of the tokens; 0 where all are alike.
+    /// Standard deviation of the logarithm of the number of tokens; 0 if all are equal.
     double shared_spread {0};
     double own_spread {0};
 };
@@ -55,9 +55,9 @@
         SimulatedTime(300)},
 }};
 
-/// The same kinds before engines that read four times as fast, with targets to match.
-constexpr double s_quick_tokens_read_in_a_ms = 157;
-constexpr Kinds s_quick_kinds {{
+/// The same kinds for engines that prefill four times as fast, with correspondingly tighter targets.
+constexpr double s_fast_prefill_tokens_per_ms = 157;
+constexpr Kinds s_fast_engine_kinds {{
     {"case", "3", "1200ms", "800ms", 3.8, 13'300, 947, 3'720, 120, SimulatedTime(8'000), SimulatedTime(1'200),
         SimulatedTime(800), 0.7, 1.1},
     {"draft", "2", "800ms", "300ms", 2.2, 6'300, 1'061, 2'890, 54, SimulatedTime(5'000), SimulatedTime(800),
@@ -66,55 +66,55 @@
         SimulatedTime(200), 0.7, 1.0},
 }};
 
-/// What became of the requests of one kind.
+/// Number of requests of one kind by their result.
 struct Outcome {
-    unsigned asked {0};
+    unsigned requested {0};
     unsigned in_time {0};
     unsigned refused {0};
-    unsigned left {0};
-    /// Came in the two seconds behind the second one after the burst.
-    unsigned asked_after {0};
+    unsigned abandoned {0};
+    /// Requests that arrived from two to four seconds after the burst.
+    unsigned requested_after {0};
     unsigned in_time_after {0};
 };
 
-enum class Refusing {
-    No,
-    Yes,
+enum class AdmissionControl {
+    Off,
+    On,
 };
 
-/// One gateway before a dozen engines, by simulated time.
-class Play {
+/// Simulates one gateway with a dozen engines in simulated time.
+class OverloadSimulation {
 public:
-    Play(double load, SimulatedTime burst, Refusing refusing, Kinds const& kinds = s_kinds,
-        double tokens_read_in_a_ms = EngineSimulation::s_tokens_read_in_a_ms, std::uint64_t seed = 7)
+    OverloadSimulation(double load, SimulatedTime burst, AdmissionControl admission, Kinds const& kinds = s_kinds,
+        double prefill_tokens_per_ms = EngineSimulation::s_prefill_tokens_per_ms, std::uint64_t seed = 7)
         : m_kinds(kinds)
         , m_load(load)
         , m_burst(burst)
-        , m_refusing(refusing)
+        , m_admission_control(admission)
         , m_table(make_table(kinds))
         , m_generator(seed)
     {
         Entry::ServerList list;
         for (std::size_t number = 0; number < s_engines; ++number) {
-            m_engines.emplace(Core::concat("i-", number), EngineSimulation(tokens_read_in_a_ms));
+            m_engines.emplace(Core::concat("i-", number), EngineSimulation(prefill_tokens_per_ms));
             list.servers.push_back({Core::concat("i-", number), "svc", *Core::Address::from_string("127.0.0.1:9"),
                 "here", EngineSimulation::s_slots, Table::BackendServerState::Serving});
         }
         m_fleet.follow(list, s_start);
         m_fleet.follow(*m_table);
         for (std::size_t kind = 0; kind < m_kinds.size(); ++kind)
-            draw_next(kind);
+            schedule_next(kind);
     }
 
-    /// A quiet time, the burst, and a quiet time.
+    /// Runs a quiet period, the burst, and another quiet period.
     void run(SimulatedTime before, SimulatedTime after)
     {
-        m_burst_begin = before;
+        m_burst_start = before;
         m_end = before + m_burst + after;
-        // Callers wait for what they have after the last one came.
+        // Callers wait for open requests after the last arrival.
         for (; m_now < m_end + 12s; m_now += 5ms) {
             for (std::size_t kind = 0; kind < m_kinds.size(); ++kind) {
-                for (; m_next.at(kind) <= m_now && m_next.at(kind) < m_end; draw_next(kind))
+                for (; m_next_arrival.at(kind) <= m_now && m_next_arrival.at(kind) < m_end; schedule_next(kind))
                     arrive(kind);
             }
             for (auto& [instance, engine] : m_engines)
@@ -159,32 +159,32 @@
 
     [[nodiscard]] bool is_in_burst(SimulatedTime time) const
     {
-        return time >= m_burst_begin && time < m_burst_begin + m_burst;
+        return time >= m_burst_start && time < m_burst_start + m_burst;
     }
 
-    void draw_next(std::size_t kind)
+    void schedule_next(std::size_t kind)
     {
-        auto const rate
-            = m_kinds.at(kind).per_engine_second * s_engines * (is_in_burst(m_next.at(kind)) ? m_load : 0.4);
-        m_next.at(kind) += SimulatedTime(std::exponential_distribution<double>(rate / 1'000)(m_generator));
+        auto const rate = m_kinds.at(kind).requests_per_engine_second * s_engines
+            * (is_in_burst(m_next_arrival.at(kind)) ? m_load : 0.4);
+        m_next_arrival.at(kind) += SimulatedTime(std::exponential_distribution<double>(rate / 1'000)(m_generator));
     }
 
     [[nodiscard]] static std::uint32_t draw_tokens(double mean, double spread, std::mt19937_64& generator)
     {
         if (spread == 0)
             return static_cast<std::uint32_t>(mean);
-        auto const middle = std::log(mean) - spread * spread / 2;
-        auto const drawn = std::lognormal_distribution<double>(middle, spread)(generator);
-        constexpr double most_means = 10;
-        return static_cast<std::uint32_t>(std::clamp(drawn, 1.0, mean * most_means));
+        auto const log_mean = std::log(mean) - spread * spread / 2;
+        auto const sample = std::lognormal_distribution<double>(log_mean, spread)(generator);
+        constexpr double max_means = 10;
+        return static_cast<std::uint32_t>(std::clamp(sample, 1.0, mean * max_means));
     }
 
     [[nodiscard]] RoutedRequest make_call(Kind const& kind, SimulatedTime now)
     {
-        auto const subject = m_generator() % kind.subjects;
-        // The same at each request about the subject.
-        std::mt19937_64 of_subject(subject);
-        auto const shared_tokens = draw_tokens(kind.shared_tokens, kind.shared_spread, of_subject);
+        auto const subject = m_generator() % kind.subject_count;
+        // Gives the same numbers for each request about this subject.
+        std::mt19937_64 subject_generator(subject);
+        auto const shared_tokens = draw_tokens(kind.shared_tokens, kind.shared_spread, subject_generator);
         auto const own_tokens = draw_tokens(kind.own_tokens, kind.own_spread, m_generator);
         HTTP::RequestHead head;
         head.method = "POST";
@@ -200,16 +200,16 @@
     void arrive(std::size_t number)
     {
         auto const& kind = m_kinds.at(number);
-        auto const now = m_next.at(number);
+        auto const now = m_next_arrival.at(number);
         auto& outcome = m_outcomes.at(number);
-        ++outcome.asked;
-        bool const is_after = now >= m_burst_begin + m_burst + 2s && now < m_burst_begin + m_burst + 4s;
-        outcome.asked_after += is_after ? 1 : 0;
+        ++outcome.requested;
+        bool const is_after = now >= m_burst_start + m_burst + 2s && now < m_burst_start + m_burst + 4s;
+        outcome.requested_after += is_after ? 1 : 0;
         auto call = make_call(kind, now);
         auto const choice = m_fleet.choose(call, {}, at(now));
         Policy::AdmissionQuestion const question {call.service, call.request_class->name, call.priority,
             SimulatedTime(0), choice.predicted_wait, kind.target, kind.patience};
-        if (m_refusing == Refusing::Yes && m_admission.refuse(question, 0.5, at(now))) {
+        if (m_admission_control == AdmissionControl::On && m_admission.refuse(question, 0.5, at(now))) {
             ++outcome.refused;
             return;
         }
@@ -219,15 +219,15 @@
     void send(std::size_t number, RoutedRequest const& call, Choice const& choice, bool is_after)
     {
         struct Run {
-            SimulatedTime begun;
-            SimulatedTime last {0};
-            SimulatedTime first {0};
+            SimulatedTime started_at;
+            SimulatedTime last_event_at {0};
+            SimulatedTime first_event_at {0};
             SimulatedTime longest_pause {0};
             ServerLoad load;
         };
         auto const& kind = m_kinds.at(number);
         auto run = std::make_shared<Run>();
-        run->begun = m_next.at(number);
+        run->started_at = m_next_arrival.at(number);
         run->load = {1, choice.unread_tokens, choice.is_pause_sensitive ? 1U : 0U};
         choice.server->begin_attempt(run->load);
         choice.server->prefixes().note_prefill(call.prompt);
@@ -235,29 +235,30 @@
         stream.priority = call.priority;
         stream.prompt = call.prompt;
         stream.output_tokens = kind.output_tokens;
-        stream.deadline = run->begun + kind.patience;
+        stream.deadline = run->started_at + kind.patience;
         stream.on_event = [this, run, choice, number](SimulatedTime now) {
-            if (run->first == SimulatedTime(0)) {
-                run->first = now;
-                m_admission.note_wait("svc", m_kinds.at(number).name, choice.predicted_wait, now - run->begun);
+            if (run->first_event_at == SimulatedTime(0)) {
+                run->first_event_at = now;
+                m_admission.note_wait("svc", m_kinds.at(number).name, choice.predicted_wait, now - run->started_at);
                 m_fleet.note_first_event("svc", static_cast<std::uint32_t>(run->load.unread_tokens),
-                    std::chrono::duration_cast<Core::Milliseconds>(now - run->begun));
+                    std::chrono::duration_cast<Core::Milliseconds>(now - run->started_at));
                 choice.server->note_read(run->load);
             } else {
-                run->longest_pause = std::max(run->longest_pause, now - run->last);
-                m_fleet.note_pause("svc", *choice.server, now - run->last);
+                run->longest_pause = std::max(run->longest_pause, now - run->last_event_at);
+                m_fleet.note_pause("svc", *choice.server, now - run->last_event_at);
             }
-            run->last = now;
+            run->last_event_at = now;
         };
         stream.on_end = [this, run, choice, number, is_after](SimulatedTime, bool is_whole) {
-            auto const& ended = m_kinds.at(number);
+            auto const& ended_kind = m_kinds.at(number);
             auto& outcome = m_outcomes.at(number);
             choice.server->end_attempt(run->load);
-            bool const has_begun_in_time = run->first > SimulatedTime(0) && run->first - run->begun <= ended.target;
-            bool const is_in_time = is_whole && has_begun_in_time && run->longest_pause <= ended.pause_target;
+            bool const has_started_in_time
+                = run->first_event_at > SimulatedTime(0) && run->first_event_at - run->started_at <= ended_kind.target;
+            bool const is_in_time = is_whole && has_started_in_time && run->longest_pause <= ended_kind.pause_target;
             outcome.in_time += is_in_time ? 1 : 0;
             outcome.in_time_after += is_in_time && is_after ? 1 : 0;
-            outcome.left += is_whole ? 0 : 1;
+            outcome.abandoned += is_whole ? 0 : 1;
         };
         if (choice.source)
             stream.source = &m_engines.at(choice.source->record().instance);
@@ -267,7 +268,7 @@
     Kinds m_kinds;
     double m_load;
     SimulatedTime m_burst;
-    Refusing m_refusing;
+    AdmissionControl m_admission_control;
     std::shared_ptr<Table::Table const> m_table;
     GraniteField::Testing::NullDescriptor m_descriptor;
     Observe::MetricRegistry m_metrics;
@@ -278,17 +279,17 @@
     std::mt19937_64 m_generator;
     std::uint64_t m_requests {0};
     SimulatedTime m_now {0};
-    SimulatedTime m_burst_begin {0};
+    SimulatedTime m_burst_start {0};
     SimulatedTime m_end {0};
-    std::array<SimulatedTime, s_kinds.size()> m_next {};
+    std::array<SimulatedTime, s_kinds.size()> m_next_arrival {};
     std::array<Outcome, s_kinds.size()> m_outcomes;
 };
 
-/// Fifteen seconds of that load between quiet times.
-class Burst : public Play {
+/// Simulates a burst of fifteen seconds between quiet periods.
+class BurstSimulation : public OverloadSimulation {
 public:
-    Burst(double load, Refusing refusing)
-        : Play(load, 15s, refusing)
+    BurstSimulation(double load, AdmissionControl admission)
+        : OverloadSimulation(load, 15s, admission)
     {
         run(5s, 6s);
     }
@@ -300,88 +301,90 @@
 
 }
 
-TEST(Overload, NobodyIsRefusedWhileTheEnginesKeepUp)
+TEST(Overload, RefusesNoRequestWithinTheCapacity)
 {
     for (double const load : {0.7, 1.0}) {
-        Burst const play(load, Refusing::Yes);
+        BurstSimulation const simulation(load, AdmissionControl::On);
         for (std::size_t kind = 0; kind < s_kinds.size(); ++kind) {
-            EXPECT_EQ(play.outcome(kind).refused, 0U) << s_kinds.at(kind).name << " at " << load;
-            EXPECT_GE(play.outcome(kind).in_time, play.outcome(kind).asked * 99 / 100);
+            EXPECT_EQ(simulation.outcome(kind).refused, 0U) << s_kinds.at(kind).name << " at " << load;
+            EXPECT_GE(simulation.outcome(kind).in_time, simulation.outcome(kind).requested * 99 / 100);
         }
     }
 }
 
-// Gateways that had just begun refused large prompts before idle engines: they took the engines for slower than they
-// were, and who is refused teaches nothing.
-TEST(Overload, GatewaysThatHaveJustBegunRefuseNobodyBeforeQuickIdleEngines)
+// Gateways that had just started rejected large prompts while the engines were idle: they underestimated the engines,
+// and rejected requests provided no samples to correct the estimate.
+TEST(Overload, NewGatewaysRefuseNoRequestsForFastIdleEngines)
 {
     constexpr std::uint64_t gateways = 20;
     for (double const load : {0.05, 0.1, 0.2}) {
         Outcome sum;
         for (std::uint64_t seed = 1; seed <= gateways; ++seed) {
-            Play play(load, 5s, Refusing::Yes, s_quick_kinds, s_quick_tokens_read_in_a_ms, seed);
-            play.run(0s, 0s);
-            for (std::size_t kind = 0; kind < s_quick_kinds.size(); ++kind) {
-                sum.asked += play.outcome(kind).asked;
-                sum.refused += play.outcome(kind).refused;
-                sum.in_time += play.outcome(kind).in_time;
+            OverloadSimulation simulation(
+                load, 5s, AdmissionControl::On, s_fast_engine_kinds, s_fast_prefill_tokens_per_ms, seed);
+            simulation.run(0s, 0s);
+            for (std::size_t kind = 0; kind < s_fast_engine_kinds.size(); ++kind) {
+                sum.requested += simulation.outcome(kind).requested;
+                sum.refused += simulation.outcome(kind).refused;
+                sum.in_time += simulation.outcome(kind).in_time;
             }
         }
-        EXPECT_EQ(sum.refused, 0U) << "of " << sum.asked << " at " << load;
-        EXPECT_GE(sum.in_time, sum.asked * 99 / 100) << "of " << sum.asked << " at " << load;
+        EXPECT_EQ(sum.refused, 0U) << "of " << sum.requested << " at " << load;
+        EXPECT_GE(sum.in_time, sum.requested * 99 / 100) << "of " << sum.requested << " at " << load;
     }
 }
 
-TEST(Overload, TakingEverybodyCollapses)
+TEST(Overload, CollapsesWithoutAdmissionControl)
 {
-    // What the refusals are measured against. In time of those asked at 2.0: 269 of 2,042 cases, 357 of 552 drafts, 405
-    // of 491 questions; 1,544 callers left in vain.
-    Burst const play(2.0, Refusing::No);
-    EXPECT_LE(play.outcome(s_case).in_time, play.outcome(s_case).asked / 5);
-    EXPECT_LE(play.outcome(s_draft).in_time, play.outcome(s_draft).asked * 7 / 10);
+    // Baseline without admission control. In time at load 2.0: 269 of 2,042 cases, 357 of 552 drafts, 405 of 491
+    // questions; 1,544 callers left without a response.
+    BurstSimulation const simulation(2.0, AdmissionControl::Off);
+    EXPECT_LE(simulation.outcome(s_case).in_time, simulation.outcome(s_case).requested / 5);
+    EXPECT_LE(simulation.outcome(s_draft).in_time, simulation.outcome(s_draft).requested * 7 / 10);
 }
 
-TEST(Overload, MoreWorkThanTheEnginesCanDoServesNoFewer)
+TEST(Overload, ServesAsManyInTimeUnderOverload)
 {
-    // In time at 2.0: 824 cases, 511 drafts, 491 questions; together 1,826 (1,031 when all are taken), and 1,713
-    // at 1.0.
-    Burst const full(1.0, Refusing::Yes);
+    // In time at load 2.0: 824 cases, 511 drafts and 491 questions, in total 1,826 (1,031 without admission control),
+    // and 1,713 at load 1.0.
+    BurstSimulation const full_load(1.0, AdmissionControl::On);
     for (double const load : {1.3, 2.0}) {
-        Burst const over(load, Refusing::Yes);
-        EXPECT_GE(over.in_time(), full.in_time() * 9 / 10) << load;
-        EXPECT_GE(over.in_time(), Burst(load, Refusing::No).in_time() * 5 / 4) << load;
+        BurstSimulation const overload(load, AdmissionControl::On);
+        EXPECT_GE(overload.in_time(), full_load.in_time() * 9 / 10) << load;
+        EXPECT_GE(overload.in_time(), BurstSimulation(load, AdmissionControl::Off).in_time() * 5 / 4) << load;
     }
 }
 
-TEST(Overload, TheLeastUrgentAreRefusedFirst)
+TEST(Overload, RefusesTheLeastUrgentFirst)
 {
     for (double const load : {1.3, 2.0}) {
-        Burst const play(load, Refusing::Yes);
-        auto const& draft = play.outcome(s_draft);
-        auto const& question = play.outcome(s_question);
-        EXPECT_GT(play.outcome(s_case).refused, 0U);
-        EXPECT_LE(draft.refused, draft.asked / 12) << load;
-        EXPECT_GE(draft.in_time, draft.asked * 9 / 10) << load;
+        BurstSimulation const simulation(load, AdmissionControl::On);
+        auto const& draft = simulation.outcome(s_draft);
+        auto const& question = simulation.outcome(s_question);
+        EXPECT_GT(simulation.outcome(s_case).refused, 0U);
+        EXPECT_LE(draft.refused, draft.requested / 12) << load;
+        EXPECT_GE(draft.in_time, draft.requested * 9 / 10) << load;
         EXPECT_EQ(question.refused, 0U) << load;
-        EXPECT_GE(question.in_time, question.asked * 98 / 100) << load;
+        EXPECT_GE(question.in_time, question.requested * 98 / 100) << load;
     }
 }
 
-TEST(Overload, FewOfThoseWhoWereTakenLeaveInVain)
+TEST(Overload, FewAdmittedCallersLeaveWithoutAResponse)
 {
     for (double const load : {1.3, 2.0}) {
-        Burst const play(load, Refusing::Yes);
-        auto const& outcome = play.outcome(s_case);
-        EXPECT_LE(outcome.left, (outcome.asked - outcome.refused) / 20) << load;
+        BurstSimulation const simulation(load, AdmissionControl::On);
+        auto const& outcome = simulation.outcome(s_case);
+        EXPECT_LE(outcome.abandoned, (outcome.requested - outcome.refused) / 20) << load;
     }
 }
 
-TEST(Overload, TwoSecondsAfterwardsEverybodyIsInTimeAgain)
+TEST(Overload, ServesAllInTimeTwoSecondsAfterABurst)
 {
     for (double const load : {1.3, 2.0}) {
-        Burst const play(load, Refusing::Yes);
+        BurstSimulation const simulation(load, AdmissionControl::On);
         for (std::size_t kind = 0; kind < s_kinds.size(); ++kind)
-            EXPECT_EQ(play.outcome(kind).in_time_after, play.outcome(kind).asked_after) << s_kinds.at(kind).name;
+            EXPECT_EQ(simulation.outcome(kind).in_time_after, simulation.outcome(kind).requested_after)
+                << s_kinds.at(kind).name;
     }
 }
 
--- a/Tests/LibGateway/PauseRulesTest.cpp
+++ b/Tests/LibGateway/PauseRulesTest.cpp
@@ -1,4 +1,4 @@
-// Where requests for engines are placed: what is weighed, and what is kept apart.
+// Checks the placement of requests at engines: which costs are compared, and which requests are kept apart.
 #include "NullDescriptor.h"
 
 #include <LibCore/Hashing.h>
@@ -19,7 +19,7 @@
 
 Core::MonotonicTime const s_now {1h};
 constexpr std::uint32_t s_long_prompt = 17'000;
-/// Reading this again costs more than another open request, and less than a late stream.
+/// Prefilling this costs more than another open request, and less than a late stream.
 constexpr std::uint32_t s_shared_part = 300;
 
 class PauseRules : public ::testing::Test {
@@ -52,7 +52,7 @@
         m_fleet.follow(*m_table);
     }
 
-    /// A call with a part that other prompts share, which makes one engine its home, and a part of its own.
+    /// Returns a request with a part that other prompts share, which determines its home, and a part of its own.
     [[nodiscard]] RoutedRequest call(std::string const& kind, std::uint32_t tokens, std::string const& part) const
     {
         return prompt_call(Core::concat(part, ":", s_shared_part, ",own:", tokens), kind);
@@ -68,8 +68,8 @@
         return std::get<RoutedRequest>(route_request(std::move(head), "", m_table, Dialect(), s_now));
     }
 
-    /// Lets the fleet see streams that pause so long beside a long reading.
-    void learn(std::chrono::milliseconds pause)
+    /// Lets the fleet observe streams that pause this long during a long prefill.
+    void observe_pauses(std::chrono::milliseconds pause)
     {
         auto& server = *m_fleet.all().begin()->second;
         server.begin_attempt({1, s_long_prompt, 0});
@@ -91,17 +91,17 @@
 
 }
 
-TEST_F(PauseRules, BeforePausesWereSeenAFirstBeliefHolds)
+TEST_F(PauseRules, UsesTheConfiguredPauseBeforeAnyObservation)
 {
-    for (auto const belief : {310ms, 60ms}) {
-        m_settings.engine_prior.longest_pause = belief;
+    for (auto const pause : {310ms, 60ms}) {
+        m_settings.engine_prior.longest_pause = pause;
         m_fleet.set_settings(m_settings);
-        EXPECT_EQ(choose(call("chat", 1'000, "p")).is_pause_sensitive, belief == 310ms);
+        EXPECT_EQ(choose(call("chat", 1'000, "p")).is_pause_sensitive, pause == 310ms);
         EXPECT_FALSE(choose(call("bulk", 1'000, "p")).is_pause_sensitive);
     }
 }
 
-TEST_F(PauseRules, AGatewayThatHasJustBegunKeepsLongPromptsFromStreams)
+TEST_F(PauseRules, KeepsLongPromptsFromStreamsRightAfterAStart)
 {
     m_settings.engine_prior.longest_pause = 310ms;
     m_fleet.set_settings(m_settings);
@@ -111,45 +111,45 @@
     EXPECT_NE(choose(long_call).server, home);
 }
 
-TEST_F(PauseRules, AClassIsSensitiveWhenItsTargetIsBelowThePauseBesideAReading)
+TEST_F(PauseRules, MarksClassesWithTargetsBelowTheObservedPauseAsSensitive)
 {
-    learn(310ms);
+    observe_pauses(310ms);
     EXPECT_TRUE(choose(call("chat", 1'000, "p")).is_pause_sensitive);
     EXPECT_FALSE(choose(call("bulk", 1'000, "p")).is_pause_sensitive);
 }
 
-TEST_F(PauseRules, QuickEnginesMakeNobodySensitive)
+TEST_F(PauseRules, MarksNoClassAsSensitiveOnFastEngines)
 {
-    learn(60ms);
+    observe_pauses(60ms);
     EXPECT_FALSE(choose(call("chat", 1'000, "p")).is_pause_sensitive);
 }
 
-TEST_F(PauseRules, LongPromptsKeepAwayFromSensitiveStreams)
+TEST_F(PauseRules, PlacesLongPromptsAwayFromSensitiveStreams)
 {
-    learn(310ms);
+    observe_pauses(310ms);
     auto const long_call = call("bulk", s_long_prompt, "p");
     auto const home = choose(long_call).server;
-    // Any other stream leaves it at the engine that keeps its shared part.
+    // A stream that is not sensitive does not move the prompt from the engine that has cached its shared part.
     home->begin_attempt({1, 0, 0});
     EXPECT_EQ(choose(long_call).server, home);
     home->begin_attempt({1, 0, 1});
     EXPECT_NE(choose(long_call).server, home);
-    // A short one is read within a step and may stay.
+    // A short prompt is prefilled within one step and may stay.
     EXPECT_EQ(choose(call("bulk", 100, "p")).server, home);
 }
 
-TEST_F(PauseRules, SensitiveStreamsKeepAwayFromLongReadings)
+TEST_F(PauseRules, PlacesSensitiveStreamsAwayFromLongPrefills)
 {
-    learn(310ms);
+    observe_pauses(310ms);
     auto const home = choose(call("chat", 1'000, "p")).server;
-    // A reading that is waited for less time than the target, but makes streams late.
+    // The wait for this prefill is shorter than the target, but it makes streams late.
     home->begin_attempt({1, EngineModel::s_initial_long_prefill, 0});
     EXPECT_NE(choose(call("chat", 1'000, "p")).server, home);
 }
 
-TEST_F(PauseRules, SensitiveStreamsKeepAwayFromWhereLongPromptsWereReadOfLate)
+TEST_F(PauseRules, PlacesSensitiveStreamsAwayFromRecentLongPrefills)
 {
-    learn(310ms);
+    observe_pauses(310ms);
     auto const home = choose(call("chat", 1'000, "p")).server;
     ServerLoad load {1, s_long_prompt, 0};
     home->begin_attempt(load);
@@ -160,62 +160,62 @@
     EXPECT_NE(choose(call("chat", 1'000, "p")).server, home);
 }
 
-TEST_F(PauseRules, ARowOfReadingsDoesNotGatherWhereStreamsAreLateAlready)
+TEST_F(PauseRules, DoesNotQueuePrefillsWhereStreamsAreAlreadyLate)
 {
-    learn(310ms);
+    observe_pauses(310ms);
     auto const long_call = call("bulk", s_long_prompt, "p");
     auto const home = choose(long_call).server;
     home->begin_attempt({3, EngineModel::s_initial_long_prefill, 2});
-    // The streams there are late by the first reading; those that follow them are by the second.
+    // The first prefill makes the current streams late; the second would delay streams that arrive meanwhile.
     EXPECT_NE(choose(long_call).server, home);
 }
 
-TEST_F(PauseRules, LongPromptsDoNotAllWaitAtTheOneEngineWithoutSensitiveStreams)
+TEST_F(PauseRules, DoesNotQueueAllLongPromptsAtTheEngineWithoutSensitiveStreams)
 {
-    // Two engines of three hold streams that long readings may make late; nothing is read meanwhile.
-    learn(310ms);
+    // Two of three engines run streams that long prefills may make late; no engine has anything to prefill.
+    observe_pauses(310ms);
     auto engine = m_fleet.all().begin();
     for (int count = 0; count < 2; ++count, ++engine)
         engine->second->begin_attempt({20, 0, 20});
-    // What callers of a class with a target of 1500 ms wait for.
-    constexpr auto patience = 6'000ms;
+    // Time that callers of a class with a target of 1500 ms wait.
+    constexpr auto timeout = 6'000ms;
     for (int number = 0; number < 30; ++number) {
         bool const is_one_free = std::ranges::any_of(
             m_fleet.all(), [](auto const& item) { return item.second->load().unread_tokens == 0; });
         auto const choice = choose(call("bulk", s_long_prompt, Core::concat("p", number)));
-        EXPECT_FALSE(is_one_free && choice.predicted_wait > patience) << number;
+        EXPECT_FALSE(is_one_free && choice.predicted_wait > timeout) << number;
         choice.server->begin_attempt({1, choice.unread_tokens, 0});
     }
     EXPECT_TRUE(
         std::ranges::none_of(m_fleet.all(), [](auto const& item) { return item.second->load().unread_tokens == 0; }));
 }
 
-TEST_F(PauseRules, CopiesOfSharedPartsAreFewEnginesNotAll)
+TEST_F(PauseRules, LimitsCopiesOfSharedPartsToFewEngines)
 {
     for (int number = 0; number < 20; ++number) {
         auto const prompt = prompt_call(Core::concat("case-", number, ":13000,own:100"));
         auto const home = choose(prompt).server;
         home->prefixes().note_prefill(prompt.prompt);
-        ServerLoad busy {1, 90'000, 0};
-        home->begin_attempt(busy);
+        ServerLoad queued_prefill {1, 90'000, 0};
+        home->begin_attempt(queued_prefill);
         auto const second = choose(prompt).server;
         ASSERT_NE(second, home);
-        // Another engine is a little less busy; a copy there would put out what others ask for.
-        ServerLoad few {3, 0, 0};
-        second->begin_attempt(few);
+        // Another engine is slightly less busy; a copy there would evict what other prompts need.
+        ServerLoad other_load {3, 0, 0};
+        second->begin_attempt(other_load);
         EXPECT_EQ(choose(prompt).server, second) << number;
-        second->end_attempt(few);
-        home->end_attempt(busy);
+        second->end_attempt(other_load);
+        home->end_attempt(queued_prefill);
     }
 }
 
-TEST_F(PauseRules, APromptIsFetchedFromTheEngineThatKeepsMostOfIt)
+TEST_F(PauseRules, FetchesAPromptFromTheEngineWithTheLongestCachedPrefix)
 {
     auto const first = prompt_call("a:4000,b:4000,own:100");
     auto const home = choose(first).server;
     home->prefixes().note_prefill(first.prompt);
     EXPECT_EQ(choose(first).source, nullptr);
-    // Its queue is longer than the target.
+    // The wait at the home is longer than the target.
     home->begin_attempt({1, 90'000, 0});
     auto const choice = choose(first);
     ASSERT_NE(choice.server, home);
@@ -225,7 +225,7 @@
     EXPECT_EQ(choice.moved_tokens % 100, 0U);
 }
 
-TEST_F(PauseRules, NothingIsFetchedFromAnEngineThatLeavesOrFails)
+TEST_F(PauseRules, FetchesNothingFromALeavingOrFailedEngine)
 {
     auto const call = prompt_call("a:4000,b:4000,own:100");
     auto const home = choose(call).server;
@@ -241,10 +241,10 @@
     EXPECT_NE(choose(call).source, home);
 }
 
-TEST_F(PauseRules, AnEnginesSlotsAreNotFilledWhileOthersHaveFreeOnes)
+TEST_F(PauseRules, DoesNotFillTheSlotsOfAnEngineWhileOthersHaveFreeOnes)
 {
-    // Two engines read long prompts now and then, so that streams would rather share the third.
-    learn(310ms);
+    // Two engines prefill long prompts now and then, so that streams prefer the third.
+    observe_pauses(310ms);
     auto now = s_now;
     auto const last = std::prev(m_fleet.all().end())->second;
     for (auto const& [instance, view] : m_fleet.all()) {
@@ -256,12 +256,12 @@
     auto const slots = last->record().slots;
     for (unsigned number = 0; number < 2 * slots; ++number)
         choose(call("chat", 100, "p")).server->begin_attempt({1, 0, 1});
-    // One that finds no slot waits, or has a less urgent one put back and read again.
+    // A request that finds no slot waits, or preempts a less urgent request whose prompt is prefilled again.
     EXPECT_GT(last->load().open, slots / 4);
     EXPECT_LT(last->load().open, slots);
 }
 
-TEST_F(PauseRules, EqualEnginesAreSplit)
+TEST_F(PauseRules, SpreadsRequestsOverEqualEngines)
 {
     std::set<std::string> used;
     for (int number = 0; number < 3; ++number) {
@@ -272,10 +272,10 @@
     EXPECT_EQ(used.size(), 3U);
 }
 
-RC_GTEST_FIXTURE_PROP(PauseRules, MoreLoadNeverLooksBetter, ())
+RC_GTEST_FIXTURE_PROP(PauseRules, NeverPrefersAnEngineForAddedLoad, ())
 {
     if (*rc::gen::arbitrary<bool>())
-        learn(std::chrono::milliseconds(*rc::gen::inRange(50, 500)));
+        observe_pauses(std::chrono::milliseconds(*rc::gen::inRange(50, 500)));
     auto const kind = *rc::gen::element<std::string>("chat", "bulk");
     auto const request = call(kind, *rc::gen::inRange(100U, 20'000U), "p");
     for (auto const& [instance, view] : m_fleet.all()) {
@@ -283,7 +283,7 @@
             {*rc::gen::inRange(0U, 30U), *rc::gen::inRange<std::uint64_t>(0, 60'000), *rc::gen::inRange(0U, 10U)});
     }
     auto const before = choose(request);
-    // What is added to another engine never draws the request there.
+    // Load added to another engine must not attract the request.
     for (auto const& [instance, view] : m_fleet.all()) {
         if (view == before.server)
             continue;
@@ -293,7 +293,7 @@
     RC_ASSERT(choose(request).server == before.server);
 }
 
-TEST(ExpectedLoss, NeverStopsRisingWithTheWait)
+TEST(ExpectedLoss, RisesStrictlyWithTheWait)
 {
     Policy::LatenessLoss const loss {10ms, 600ms, 2'400ms};
     double before = -1;
@@ -307,10 +307,10 @@
     EXPECT_GT(loss.at(Policy::FineTime(2'400)), 0.8);
 }
 
-RC_GTEST_PROP(EngineModel, SettlesWhereMostPausesLieBelow, ())
+RC_GTEST_PROP(EngineModel, ConvergesToTheUpperQuantileOfPauses, ())
 {
     EngineModel model({});
-    // Pauses spread evenly over a range; three quarters of them lie below the estimate, give or take its steps.
+    // The pauses are uniformly distributed; three quarters of them lie below the estimate, within its step size.
     auto const least = *rc::gen::inRange(20, 400);
     auto const width = *rc::gen::inRange(1, 200);
     for (int count = 0; count < 2'000; ++count)
@@ -319,7 +319,7 @@
     RC_ASSERT(model.longest_pause().count() < (least + width) * 1.1);
 }
 
-RC_GTEST_PROP(EngineModel, ALongerReadingIsNeverLessHarmful, ())
+RC_GTEST_PROP(EngineModel, LongerPrefillsAreNeverLessHarmful, ())
 {
     EngineModel model({static_cast<double>(*rc::gen::inRange(5, 100)), 250ms});
     auto const pause = *rc::gen::inRange(20, 600);
@@ -335,7 +335,7 @@
     }
 }
 
-TEST(EngineModel, LearnsAfterAFirstPauseOfNothing)
+TEST(EngineModel, AdaptsAfterAFirstPauseOfZero)
 {
     EngineModel model({});
     model.note_pause(EngineModel::Time(0), EngineModel::s_initial_long_prefill);
@@ -344,7 +344,7 @@
     EXPECT_TRUE(model.is_sensitive(300ms));
 }
 
-RC_GTEST_PROP(ServerLoad, IsNothingAgainWhenAllAttemptsAreOver, ())
+RC_GTEST_PROP(ServerLoad, IsZeroAfterAllAttemptsEnded, ())
 {
     Entry::ServerEntry record;
     BackendView view(record);
--- a/Tests/LibGateway/RateLimitRulesTest.cpp
+++ b/Tests/LibGateway/RateLimitRulesTest.cpp
@@ -1,4 +1,4 @@
-// Guards against exceeding a stated rate limit, with a single gateway that has the whole limit.
+// Checks that a stated rate limit is not exceeded, with a single gateway that may use the whole limit.
 #include "GatewayFixture.h"
 
 #include <atomic>
@@ -28,22 +28,22 @@
             instance, [](auto& connection, auto const& text, auto) { connection.write(answer_to(text, 200, "fine")); });
     }
 
-    void start_alone()
+    void start_as_only_gateway()
     {
         m_membership.set_load_members({});
         m_membership.is_acquainted = true;
         start();
-        auto const knows_that_it_is_alone = [this] {
+        auto const knows_it_is_alone = [this] {
             auto const status = nlohmann::json::parse(m_gateway->status());
             return status.contains("known-gateways") && status["known-gateways"] == 0;
         };
-        while (!knows_that_it_is_alone())
+        while (!knows_it_is_alone())
             std::this_thread::sleep_for(10ms);
     }
 
-    [[nodiscard]] int ask() const { return answer_of(request("GET", "/safe/")).status; }
+    [[nodiscard]] int send_request() const { return answer_of(request("GET", "/safe/")).status; }
 
-    /// Requests per second; below 0 the server states nothing.
+    /// Requests per second; if negative, the server states no limit.
     std::atomic<double> m_rate {-1};
 
 private:
@@ -62,15 +62,15 @@
 {
     auto const& limited = add_limited_backend("i-1");
     auto const& other = add_good_backend("i-2");
-    start_alone();
+    start_as_only_gateway();
     while (limited.count() == 0)
-        ASSERT_EQ(ask(), 200);
+        ASSERT_EQ(send_request(), 200);
     m_rate = 0.2;
     while (limited.count() < 2)
-        ASSERT_EQ(ask(), 200);
+        ASSERT_EQ(send_request(), 200);
     auto const before = other.count();
     for (int number = 0; number < 30; ++number)
-        EXPECT_EQ(ask(), 200);
+        EXPECT_EQ(send_request(), 200);
     EXPECT_LE(limited.count(), 3U);
     EXPECT_GE(other.count(), before + 29);
 }
@@ -80,10 +80,10 @@
     auto const& limited = add_limited_backend("i-1");
     start();
     m_rate = 50;
-    ASSERT_EQ(ask(), 200);
+    ASSERT_EQ(send_request(), 200);
     auto const answer = answer_of(request("GET", "/safe/"));
     EXPECT_EQ(answer.status, 503);
-    // Another gateway may know them.
+    // Another gateway may already know the members, so the delay is short.
     EXPECT_LE(std::stod(field_of(answer.head, "Retry-After").value_or("9")), 2);
     EXPECT_EQ(limited.count(), 1U);
 }
@@ -91,7 +91,7 @@
 TEST_F(RateLimitRules, PassesTheLimitOnToTheCaller)
 {
     add_limited_backend("i-1");
-    start_alone();
+    start_as_only_gateway();
     m_rate = 7.5;
     EXPECT_EQ(field_of(answer_of(request("GET", "/safe/")).head, "Granitefield-Rate-Limit"), "7.5");
 }
@@ -99,17 +99,17 @@
 TEST_F(RateLimitRules, RejectsAtOnceWhenTheOnlyServerIsAtItsLimit)
 {
     auto const& limited = add_limited_backend("i-1");
-    start_alone();
+    start_as_only_gateway();
     m_rate = 0.25;
-    ASSERT_EQ(ask(), 200);
-    // The share of the time since the limit was stated.
-    ASSERT_EQ(ask(), 200);
-    auto const begun = Core::monotonic_now();
+    ASSERT_EQ(send_request(), 200);
+    // Allowed by the time passed since the limit was stated.
+    ASSERT_EQ(send_request(), 200);
+    auto const started_at = Core::monotonic_now();
     auto const answer = answer_of(request("GET", "/safe/"));
     EXPECT_EQ(answer.status, 503);
     EXPECT_NE(answer.body.find("servers_limited"), std::string::npos) << answer.body;
-    EXPECT_LT(Core::elapsed(begun, Core::monotonic_now()), 125ms);
-    // Four seconds for each request, and up to one more by the request's rank.
+    EXPECT_LT(Core::elapsed(started_at, Core::monotonic_now()), 125ms);
+    // Four seconds per request, plus up to one second by the request's priority.
     auto const retry_after = std::stod(field_of(answer.head, "Retry-After").value_or("0"));
     EXPECT_GE(retry_after, 3);
     EXPECT_LE(retry_after, 5);
@@ -119,15 +119,15 @@
 TEST_F(RateLimitRules, UsesAServerAgainOnceItStatesNoLimit)
 {
     auto const& limited = add_limited_backend("i-1");
-    start_alone();
+    start_as_only_gateway();
     m_rate = 2;
-    ASSERT_EQ(ask(), 200);
-    ASSERT_EQ(ask(), 200);
-    EXPECT_EQ(ask(), 503);
+    ASSERT_EQ(send_request(), 200);
+    ASSERT_EQ(send_request(), 200);
+    EXPECT_EQ(send_request(), 503);
     m_rate = -1;
     std::this_thread::sleep_for(600ms);
     for (int number = 0; number < 10; ++number)
-        EXPECT_EQ(ask(), 200);
+        EXPECT_EQ(send_request(), 200);
     EXPECT_EQ(limited.count(), 12U);
 }
 
@@ -139,11 +139,11 @@
         answer.insert(answer.find("\r\n") + 2, "Granitefield-Rate-Limit: 2\r\n");
         connection.write(rejects ? refusal_to(text, 503) : answer);
     });
-    start_alone();
-    ASSERT_EQ(ask(), 200);
+    start_as_only_gateway();
+    ASSERT_EQ(send_request(), 200);
     rejects = true;
     while (limited.count() < 2)
-        EXPECT_EQ(ask(), 503);
+        EXPECT_EQ(send_request(), 503);
     auto const status = nlohmann::json::parse(m_gateway->status());
     EXPECT_EQ(status["backend-servers"][0]["rate-limit"], 2);
 }
@@ -152,14 +152,14 @@
 {
     auto const& limited = add_limited_backend("i-1");
     add_good_backend("i-2");
-    start_alone();
+    start_as_only_gateway();
     m_rate = 1;
     while (limited.count() == 0)
-        ASSERT_EQ(ask(), 200);
+        ASSERT_EQ(send_request(), 200);
     m_rate = -1;
     auto const before = limited.count();
     std::this_thread::sleep_for(Gateway::BackendFleet::s_recheck_interval * 2);
-    EXPECT_EQ(ask(), 200);
+    EXPECT_EQ(send_request(), 200);
     EXPECT_EQ(limited.count(), before + 1);
 }
 
@@ -170,9 +170,9 @@
         answer.insert(answer.find("\r\n") + 2, "Granitefield-Rate-Limit: 0.1\r\n");
         connection.write(answer);
     });
-    start_alone();
+    start_as_only_gateway();
     for (int number = 0; number < 5; ++number)
-        EXPECT_EQ(ask(), 503);
+        EXPECT_EQ(send_request(), 503);
     EXPECT_EQ(misdirected.count(), 5U);
 }
 
--- a/Tests/LibGateway/RequestRulesTest.cpp
+++ b/Tests/LibGateway/RequestRulesTest.cpp
@@ -1,4 +1,4 @@
-// What a caller sends arrives unchanged or is refused; nothing can be smuggled inside it.
+// Checks that requests are forwarded unchanged or rejected, and that no request can be smuggled inside another.
 #include "GatewayFixture.h"
 
 #include <LibCore/Text.h>
@@ -17,7 +17,7 @@
         start();
     }
 
-    /// The request as the backend server saw it.
+    /// Returns the request as received by the backend server.
     std::string seen(std::size_t index = 0) { return m_backends.front()->requests().at(index); }
 };
 
@@ -33,7 +33,7 @@
 
 }
 
-TEST_P(BadRequests, AreRefusedAndTheConnectionIsClosed)
+TEST_P(BadRequests, AreRejectedAndTheConnectionIsClosed)
 {
     auto const caller = call(GetParam().text);
     auto const answer = caller->read_answer();
@@ -78,14 +78,14 @@
         BadCase {"NoVersion", "GET /plain/\r\nHost: host.test\r\n\r\n", 400}),
     [](auto const& info) { return info.param.name; });
 
-TEST_F(RequestRules, ANulInTheHeadIsRefused)
+TEST_F(RequestRules, RejectsANulByteInTheHead)
 {
     using namespace std::string_literals;
     EXPECT_EQ(answer_of("GET /plain/ HTTP/1.1\r\nHost: host.test\r\nA: b\0c\r\n\r\n"s).status, 400);
     EXPECT_EQ(m_backends.front()->count(), 0U);
 }
 
-TEST_F(RequestRules, OrdersToEnginesReachNoServerOnAnyRoute)
+TEST_F(RequestRules, StripsEngineControlFieldsOnAllRoutes)
 {
     auto const orders = "Order-Lease: 1\r\norder-lease: 2\r\nORDER-COPY: 10.0.0.1:80/x\r\nOrder-Copy-Note: kept\r\n"
                         "Granitefield-Priority: 0\r\ngranitefield-priority: 1\r\n";
@@ -101,7 +101,7 @@
     }
 }
 
-TEST_F(RequestRules, ASecondRequestIsItsOwn)
+TEST_F(RequestRules, SeparatesPipelinedRequests)
 {
     auto const caller = call(request("GET", "/plain/a") + request("GET", "/plain/b"));
     EXPECT_EQ(caller->read_answer().body, "fine");
@@ -110,20 +110,20 @@
     EXPECT_TRUE(seen(1).starts_with("GET /plain/b HTTP/1.1\r\n"));
 }
 
-TEST_F(RequestRules, WhatLooksLikeARequestInABodyStaysABody)
+TEST_F(RequestRules, ForwardsARequestInsideABodyAsBody)
 {
     EXPECT_EQ(answer_of(request("POST", "/plain/x", "", s_smuggled)).status, 200);
     ASSERT_EQ(m_backends.front()->count(), 1U);
     EXPECT_EQ(body_of(seen()), s_smuggled);
 }
 
-TEST_F(RequestRules, PathAndQueryArriveByteForByte)
+TEST_F(RequestRules, ForwardsPathAndQueryUnchanged)
 {
     EXPECT_EQ(answer_of(request("GET", "/plain/a%2fb//c/../d?x=1&y=%20+z")).status, 200);
     EXPECT_TRUE(seen().starts_with("GET /plain/a%2fb//c/../d?x=1&y=%20+z HTTP/1.1\r\n"));
 }
 
-TEST_F(RequestRules, ABodyInChunksArrivesWhole)
+TEST_F(RequestRules, ForwardsAChunkedBodyWithItsLength)
 {
     auto const text = request("POST", "/plain/x", "Transfer-Encoding: chunked\r\n")
         + "3\r\nabc\r\n4;ext=1\r\ndefg\r\n0\r\nTrailer: t\r\n\r\n";
@@ -133,7 +133,7 @@
     EXPECT_FALSE(field_of(seen(), "Trailer"));
 }
 
-TEST_F(RequestRules, ACallerThatAsksFirstIsInvitedToSendItsBody)
+TEST_F(RequestRules, AnswersExpectWithContinue)
 {
     auto const caller = call(request("POST", "/plain/x", "Expect: 100-continue\r\nContent-Length: 3\r\n"));
     ASSERT_TRUE(caller->has_received("HTTP/1.1 100 Continue\r\n\r\n"));
@@ -143,7 +143,7 @@
     EXPECT_FALSE(field_of(seen(), "Expect"));
 }
 
-TEST_F(RequestRules, FieldsPassButThoseOfTheConnection)
+TEST_F(RequestRules, ForwardsAllFieldsButThoseOfTheConnection)
 {
     auto const fields = "X-Own: kept\r\nConnection: x-hop, keep-alive\r\nX-Hop: dropped\r\nTE: trailers\r\n"
                         "Granitefield-Expect-Instance: forged\r\nGranitefield-Workspace: forged\r\n";
@@ -157,7 +157,7 @@
     EXPECT_TRUE(field_of(seen(), "Granitefield-Remaining-Ms"));
 }
 
-TEST_F(RequestRules, TheKeyNamesTheWorkspaceAndIsShownToNobody)
+TEST_F(RequestRules, DerivesTheWorkspaceFromTheKeyAndStripsTheKey)
 {
     auto const fields = Core::concat("Authorization: Bearer ", s_key,
         "\r\nGranitefield-Workspace: other\r\nGranitefield-Prompt-Parts: a:10,b:5\r\n");
@@ -165,14 +165,14 @@
     EXPECT_EQ(field_of(seen(), "Granitefield-Workspace"), "ws");
     EXPECT_FALSE(field_of(seen(), "Authorization"));
     EXPECT_EQ(seen().find(s_key), std::string::npos);
-    // The workspace's own tier, 1, takes the place of the class's, 2, which orders within: of ten ranks over two tiers
-    // it is the second. Without a workspace the class's tier counts.
+    // The workspace's tier 1 takes precedence over the class's tier 2, which orders requests within the tier: with ten
+    // priorities for two tiers, the result is the second. Without a workspace, the class's tier applies.
     EXPECT_EQ(field_of(seen(), "Granitefield-Priority"), "1");
     EXPECT_EQ(answer_of(request("GET", "/plain/", "Granitefield-Prompt-Parts: a:10,b:5\r\n")).status, 200);
     EXPECT_EQ(field_of(seen(1), "Granitefield-Priority"), "6");
 }
 
-TEST_F(RequestRules, UnknownKeysAndRoutesAreRefused)
+TEST_F(RequestRules, RejectsUnknownKeysAndRoutes)
 {
     EXPECT_EQ(answer_of(request("GET", "/keyed/", "Authorization: Bearer other\r\n")).status, 401);
     EXPECT_EQ(answer_of(request("GET", "/keyed/")).status, 401);
@@ -180,7 +180,7 @@
     EXPECT_EQ(m_backends.front()->count(), 0U);
 }
 
-TEST_F(RequestRules, LimitsOfTheTableHold)
+TEST_F(RequestRules, EnforcesTheLimitsOfTheTable)
 {
     m_change.push_back({{Table::SheetName::Limits, "callers", "head-bytes"}, "512"});
     m_change.push_back({{Table::SheetName::Limits, "callers", "body-bytes"}, "8"});
@@ -188,14 +188,14 @@
     table.set_version(Core::TableVersion(2));
     m_table.offer(std::move(table));
     m_gateway->wake();
-    // An answer by the new table says that the loop has it.
+    // A response by the new table shows that the event loop has received it.
     EXPECT_EQ(answer_of(request("GET", "/plain/")).status, 200);
     EXPECT_EQ(answer_of(request("POST", "/plain/", "", "12345678")).status, 200);
     EXPECT_EQ(answer_of(request("POST", "/plain/", "", "123456789")).status, 413);
     EXPECT_EQ(answer_of(request("GET", "/plain/", "X: " + std::string(600, 'x') + "\r\n")).status, 431);
 }
 
-TEST_F(RequestRules, AnAnswerPassesUnchanged)
+TEST_F(RequestRules, ForwardsAResponseUnchanged)
 {
     auto const answer = answer_of(request("GET", "/plain/"));
     EXPECT_TRUE(answer.is_whole);
--- a/Tests/LibGateway/SlowReadersTest.cpp
+++ b/Tests/LibGateway/SlowReadersTest.cpp
@@ -1,5 +1,6 @@
-// Hundreds of callers asked for long answers and read nothing, or always a little less than came: what a gateway held
-// for them grew to whole answers, and an answer that was whole was kept for good for a caller that never read it.
+// Guards against unbounded memory for slow callers. Hundreds of callers requested long responses and read nothing, or
+// always slightly less than arrived: the gateway buffered whole responses for them, and kept a complete response
+// forever if the caller never read it.
 #include "GatewayFixture.h"
 
 #include <LibCore/Text.h>
@@ -15,7 +16,7 @@
 class SlowReaders : public GatewayFixture {
 protected:
     static constexpr std::size_t s_held_limit = 4U << 20U;
-    static constexpr std::size_t s_count = 300;
+    static constexpr std::size_t s_caller_count = 300;
 
     SlowReaders()
     {
@@ -30,7 +31,7 @@
         return nlohmann::json::parse(m_gateway->status())["held-bytes"].get<std::size_t>();
     }
 
-    /// Events as fast as they are taken, some megabytes in all.
+    /// Sends events as fast as they are read, 16 MB in all.
     static FakeBackend::Script many_events()
     {
         return [](auto& connection, auto const& request, auto) {
@@ -45,7 +46,7 @@
 
 }
 
-TEST_F(SlowReaders, HundredsThatReadNothingAreHeldWithinTheLimitAndOthersAreServed)
+TEST_F(SlowReaders, LimitsMemoryForCallersThatReadNothingAndServesOthers)
 {
     add_backend("i-1", [events = many_events()](auto& connection, auto const& request, auto index) {
         if (request.starts_with("GET /long/"))
@@ -54,43 +55,43 @@
     });
     start();
     std::vector<std::unique_ptr<RawCaller>> slow;
-    std::size_t most_held = 0;
-    for (std::size_t number = 0; number < s_count; ++number) {
+    std::size_t max_held = 0;
+    for (std::size_t number = 0; number < s_caller_count; ++number) {
         slow.push_back(call(request("GET", "/long/")));
-        most_held = std::max(most_held, held_bytes());
+        max_held = std::max(max_held, held_bytes());
     }
     auto const end = Core::monotonic_now() + Core::Milliseconds(2'000);
     while (Core::monotonic_now() < end) {
-        auto const begun = Core::monotonic_now();
+        auto const started_at = Core::monotonic_now();
         EXPECT_EQ(answer_of(request("GET", "/safe/")).body, "fine");
-        // The target of that class.
-        EXPECT_LT(Core::elapsed(begun, Core::monotonic_now()), Core::Milliseconds(1'000));
-        most_held = std::max(most_held, held_bytes());
+        // The target of this class.
+        EXPECT_LT(Core::elapsed(started_at, Core::monotonic_now()), Core::Milliseconds(1'000));
+        max_held = std::max(max_held, held_bytes());
     }
-    // Beyond the limit each may have a small window, half of it as one reading, an event that is not whole yet, and a
-    // string's room to grow.
-    EXPECT_LE(most_held, s_held_limit + s_count * 2 * ((16U + 8U + 8U) << 10U));
+    // Beyond the limit, each caller may use the reduced window, half of it for one read, an incomplete event, and the
+    // spare capacity of the string.
+    EXPECT_LE(max_held, s_held_limit + s_caller_count * 2 * ((16U + 8U + 8U) << 10U));
 }
 
-// One that takes a little all the time, and is always behind.
-TEST_F(SlowReaders, ACallerThatIsAlwaysBehindHasNoWholeAnswerGathered)
+// Guards against buffering for a caller that reads continuously, but always too slowly.
+TEST_F(SlowReaders, DoesNotBufferAWholeResponseForASlowCaller)
 {
     add_backend("i-1", many_events());
     start();
     RawCaller slow(m_gateway->caller_port(), 16 << 10);
     slow.write(request("GET", "/long/"));
-    std::size_t most_held = 0;
-    // Below what fills its window again between two ticks, so that it never catches up.
-    for (std::size_t taken = 64U << 10U; taken < (10U << 20U); taken += 64U << 10U) {
+    std::size_t max_held = 0;
+    // Slower than the window is refilled between two ticks, so that the caller never catches up.
+    for (std::size_t received = 64U << 10U; received < (10U << 20U); received += 64U << 10U) {
         std::this_thread::sleep_for(Core::Milliseconds(20));
-        ASSERT_TRUE(slow.read_body_bytes(taken));
-        most_held = std::max(most_held, held_bytes());
+        ASSERT_TRUE(slow.read_body_bytes(received));
+        max_held = std::max(max_held, held_bytes());
     }
-    // Its window, what it has taken and not given up yet, and a string's room to grow.
-    EXPECT_LE(most_held, 4 * (256U << 10U));
+    // The window, written bytes that are not released yet, and the spare capacity of the string.
+    EXPECT_LE(max_held, 4 * (256U << 10U));
 }
 
-TEST_F(SlowReaders, AWholeAnswerThatNobodyReadsIsNotKeptForGood)
+TEST_F(SlowReaders, ReleasesACompleteResponseThatIsNeverRead)
 {
     auto const body = std::string(8U << 20U, 'x');
     add_backend("i-1",
