--- a/Tests/LibGateway/FakeBackend.cpp
+++ b/Tests/LibGateway/FakeBackend.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-constexpr int s_patience_ms = 10'000;
+constexpr int s_timeout_ms = 10'000;
 constexpr std::size_t s_buffer_size = 64U << 10U;
 
 sockaddr_in loopback(std::uint16_t port)
@@ -31,7 +31,7 @@
     return address;
 }
 
-/// At that port, or at one that the kernel chooses where it is 0.
+/// Listens on this port, or on one chosen by the kernel if it is 0.
 int listen_on_loopback(int backlog, std::uint16_t& port)
 {
     int const listener = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
@@ -56,11 +56,11 @@
     }
 }
 
-/// Appends what comes; false at the end of the connection or of the patience.
-bool read_some(int descriptor, std::string& target, int limit_ms = s_patience_ms)
+/// Appends received bytes; false at the end of the connection or at the timeout.
+bool read_some(int descriptor, std::string& target, int timeout_ms = s_timeout_ms)
 {
     pollfd item {descriptor, POLLIN, 0};
-    if (::poll(&item, 1, limit_ms) <= 0)
+    if (::poll(&item, 1, timeout_ms) <= 0)
         return false;
     std::array<char, s_buffer_size> buffer {};
     auto const count = ::recv(descriptor, buffer.data(), buffer.size(), 0);
@@ -85,20 +85,20 @@
 
 FakeConnection::~FakeConnection()
 {
-    // The owner closes the descriptor, after it has forgotten it.
+    // The owner closes the descriptor after removing it from its list.
     ::shutdown(m_descriptor, SHUT_RDWR);
 }
 
 std::optional<std::string> FakeConnection::read_request()
 {
-    std::string seen;
+    std::string request;
     HTTP::RequestParser parser({1U << 20U, 16U << 20U});
     while (true) {
-        auto const taken = parser.add(m_input);
-        seen.append(m_input, 0, taken);
-        m_input.erase(0, taken);
+        auto const consumed = parser.add(m_input);
+        request.append(m_input, 0, consumed);
+        m_input.erase(0, consumed);
         if (parser.is_complete())
-            return seen;
+            return request;
         if (!read_some(m_descriptor, m_input))
             return std::nullopt;
     }
@@ -109,9 +109,9 @@
     write_all(m_descriptor, text);
 }
 
-bool FakeConnection::wait_until_closed(Core::Milliseconds limit) const
+bool FakeConnection::wait_until_closed(Core::Milliseconds timeout) const
 {
-    auto const end = Core::monotonic_now() + limit;
+    auto const end = Core::monotonic_now() + timeout;
     std::string rest;
     while (Core::monotonic_now() < end) {
         auto const left = Core::elapsed(Core::monotonic_now(), end).count();
@@ -128,7 +128,7 @@
 {
     linger const option {1, 0};
     ::setsockopt(m_descriptor, SOL_SOCKET, SO_LINGER, &option, sizeof(option));
-    // A connection to nowhere drops what it has: the other side gets a reset.
+    // Connecting to an unspecified address drops the connection, and the peer receives a reset.
     sockaddr unspecified {};
     unspecified.sa_family = AF_UNSPEC;
     static_cast<void>(::connect(m_descriptor, &unspecified, sizeof(unspecified)));
@@ -244,7 +244,7 @@
 FullListener::FullListener()
     : m_listener(listen_on_loopback(0, m_port))
 {
-    // The kernel keeps one connection more than the backlog; these fill it.
+    // The kernel accepts one connection more than the backlog; these fill it.
     for (int number = 0; number < 3; ++number) {
         int const filler = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
         auto const address = loopback(m_port);
@@ -354,13 +354,13 @@
     HTTP::AnswerParser parser(HTTP::BodyRule::Normal);
     Answer answer;
     while (true) {
-        auto const taken = parser.add(m_input);
+        auto const consumed = parser.add(m_input);
         if (!parser.has_head() || answer.head.empty()) {
             auto const end = m_input.find("\r\n\r\n");
             if (end != std::string::npos)
                 answer.head = m_input.substr(0, end + 4);
         }
-        m_input.erase(0, taken);
+        m_input.erase(0, consumed);
         answer.body += parser.take_body();
         if (parser.has_head())
             answer.status = parser.head().status;
@@ -394,7 +394,7 @@
 bool RawCaller::is_closed_by_peer()
 {
     pollfd item {m_descriptor, POLLIN, 0};
-    while (::poll(&item, 1, s_patience_ms) > 0) {
+    while (::poll(&item, 1, s_timeout_ms) > 0) {
         if (!read_some(m_descriptor, m_input, 0))
             return true;
     }
--- a/Tests/LibGateway/FakeBackend.h
+++ b/Tests/LibGateway/FakeBackend.h
@@ -16,7 +16,7 @@
 
 namespace GraniteField::Testing {
 
-/// One connection that a fake backend server has accepted, for the script that plays it.
+/// A connection accepted by a fake backend server, for use by its script.
 class FakeConnection {
 public:
     explicit FakeConnection(int descriptor)
@@ -27,12 +27,12 @@
     FakeConnection(FakeConnection const&) = delete;
     FakeConnection& operator=(FakeConnection const&) = delete;
 
-    /// The whole next request, head and body; nothing when the connection ends first.
+    /// Returns the next complete request, head and body, or nullopt if the connection ends first.
     [[nodiscard]] std::optional<std::string> read_request();
     void write(std::string_view) const;
-    /// Waits until the other side closes or resets; true when it did within the limit.
-    [[nodiscard]] bool wait_until_closed(Core::Milliseconds limit = Core::Milliseconds(5'000)) const;
-    /// Closes so that the other side sees a reset.
+    /// Waits until the peer closes or resets the connection; returns whether it did so within the timeout.
+    [[nodiscard]] bool wait_until_closed(Core::Milliseconds timeout = Core::Milliseconds(5'000)) const;
+    /// Closes the connection with a reset.
     void reset();
 
 private:
@@ -40,10 +40,10 @@
     std::string m_input;
 };
 
-/// A backend server that a test scripts byte by byte. It counts what reaches it.
+/// A backend server whose responses a test scripts byte by byte. Records the requests that it receives.
 class FakeBackend {
 public:
-    /// Plays one connection, which was accepted as the number `index`, from 0. Runs on a thread of its own.
+    /// Handles one connection, where `index` counts accepted connections from 0. Runs on its own thread.
     using Script = std::function<void(FakeConnection&, std::string const& request, std::size_t index)>;
 
     explicit FakeBackend(std::string instance, Script script);
@@ -52,21 +52,21 @@
     FakeBackend& operator=(FakeBackend const&) = delete;
 
     [[nodiscard]] Entry::ServerEntry entry(std::string service = "svc") const;
-    /// Requests that have arrived whole.
+    /// Returns the requests that were received completely.
     [[nodiscard]] std::vector<std::string> requests() const;
     [[nodiscard]] std::size_t count() const { return requests().size(); }
 
-    /// Ends as a process that crashes: all connections are closed at once, and new ones are refused. For scripts.
+    /// Behaves like a crashed process: closes all connections at once and refuses new ones. May be called by scripts.
     void crash();
-    /// When it crashed last; nothing while it runs.
+    /// Time of the last crash; nullopt while running.
     [[nodiscard]] std::optional<Core::MonotonicTime> crashed() const;
-    /// Comes back at its address after a crash. Not for scripts.
+    /// Accepts connections at the same address again after a crash. Must not be called by scripts.
     void restart();
 
 private:
     void start_accepting(std::uint16_t port);
     void accept_connections();
-    /// Called with the lock held; a thread that is finished does not take it any more.
+    /// Requires the lock. A finished thread does not take the lock any more.
     void join_finished_threads();
 
     std::string m_instance;
@@ -83,7 +83,7 @@
     std::thread m_acceptor;
 };
 
-/// A listening socket whose queue of new connections is full: what connects to it waits.
+/// A listening socket with a full backlog: further connects wait.
 class FullListener {
 public:
     FullListener();
@@ -99,43 +99,43 @@
     std::vector<int> m_fillers;
 };
 
-/// The value of a header field in a request's text, or nothing.
+/// Returns the value of a header field, or nullopt if it is missing.
 [[nodiscard]] std::optional<std::string> field_of(std::string_view request, std::string_view name);
 [[nodiscard]] std::string body_of(std::string_view message);
 
-/// A whole answer with the fields that a backend server gives.
+/// Returns a complete response with the fields of a backend server.
 [[nodiscard]] std::string answer_to(std::string const& request, int status, std::string const& body);
-/// The head of an event stream in chunks, and one chunk of it.
+/// Return the head of a chunked event stream, one chunk, and one event.
 [[nodiscard]] std::string stream_head_to(std::string const& request);
 [[nodiscard]] std::string chunk(std::string const& text);
 [[nodiscard]] std::string event(unsigned id);
-/// What a backend server says that did not run the request.
+/// Returns the response of a backend server that did not run the request.
 [[nodiscard]] std::string refusal_to(std::string const& request, int status);
 
-/// A caller that speaks byte by byte.
+/// A caller that sends and receives raw bytes.
 class RawCaller {
 public:
-    /// `receive_buffer` is what the kernel keeps for it, in bytes; 0 for what it likes.
+    /// `receive_buffer` is the size of the kernel's receive buffer in bytes; 0 for the default.
     explicit RawCaller(std::uint16_t port, int receive_buffer = 0);
     ~RawCaller();
     RawCaller(RawCaller const&) = delete;
     RawCaller& operator=(RawCaller const&) = delete;
 
     void write(std::string_view) const;
-    /// One whole answer by its framing; what came, when the connection ended first.
+    /// A response as delimited by its framing, or what was received before the connection ended.
     struct Answer {
         int status {0};
         std::string head;
         std::string body;
-        /// Its end came as HTTP marks it.
+        /// Whether the end of the response was received as defined by HTTP.
         bool is_whole {false};
     };
     [[nodiscard]] Answer read_answer();
-    /// Waits until the body has so many bytes at least; false when the connection ends first.
+    /// Waits until the body has at least this many bytes; false if the connection ends first.
     [[nodiscard]] bool read_body_bytes(std::size_t count);
-    /// Waits until the text is what came first; false when the connection ends before.
+    /// Waits for the first bytes and returns whether they equal the text; false if the connection ends first.
     [[nodiscard]] bool has_received(std::string_view);
-    /// Whether the other side has closed; waits for it.
+    /// Waits until the peer closes the connection; false at the timeout.
     [[nodiscard]] bool is_closed_by_peer();
     void close();
 
--- a/Tests/LibGateway/GatewayFixture.h
+++ b/Tests/LibGateway/GatewayFixture.h
@@ -15,7 +15,7 @@
 
 namespace GraniteField::Testing {
 
-/// A gateway in this process, before backend servers that the test scripts.
+/// Runs a gateway in this process, with scripted backend servers.
 class GatewayFixture : public ::testing::Test {
 protected:
     static constexpr char const* s_key = "key-1";
@@ -43,7 +43,7 @@
             m_change.push_back({{sheet, row, column}, value});
     }
 
-    /// A route of the host `host.test` to the service `svc`, open to everybody unless the cells say else.
+    /// Adds a route from the host `host.test` to the service `svc`. No key is required unless the cells say otherwise.
     void add_route(std::string const& name, Cells const& cells)
     {
         set(Table::SheetName::Services, "svc", {{"kind", "plain"}});
@@ -98,7 +98,7 @@
 
     [[nodiscard]] RawCaller::Answer answer_of(std::string const& request) const { return call(request)->read_answer(); }
 
-    /// A request with an id and whatever else is given.
+    /// Returns a request with an id and the given fields and body.
     [[nodiscard]] static std::string request(std::string const& method, std::string const& target,
         std::string const& fields = "", std::string const& body = "")
     {
--- a/Tests/LibGateway/NullDescriptor.h
+++ b/Tests/LibGateway/NullDescriptor.h
@@ -5,8 +5,8 @@
 
 namespace GraniteField::Testing {
 
-/// A descriptor that takes what is written to it and keeps nothing, for logs. Stands before the log in a fixture, so
-/// that the log's thread has ended when it is closed.
+/// A descriptor that discards what is written to it, for logs. Must be declared before the log in a fixture, so that it
+/// is closed after the log's thread has ended.
 class NullDescriptor {
 public:
     NullDescriptor() = default;
