--- a/Libraries/LibGateway/PlacementPolicy.cpp
+++ b/Libraries/LibGateway/PlacementPolicy.cpp
@@ -31,7 +31,7 @@
 constexpr double s_prefills_per_stream = 3;
 /// Upper limit for the loss by delayed streams, in streams: if prompts find no other engine, streams on other engines
 /// are late as well.
-constexpr double s_max_harm = 3;
+constexpr double s_max_delay_loss = 3;
 /// Loss added if the caller will have left before the first token, so that such a placement is never preferred to one
 /// in time. Otherwise all long prompts gather on the one engine without streams.
 constexpr double s_timeout_loss = 10;
@@ -135,11 +135,11 @@
     estimate.wait = model.prefill_time(static_cast<double>(load.unread_tokens)) + own_prefill + fetch
         + Time(m_settings.cost_per_running) * load.open;
     auto const own_loss = std::min(1.0, profile.lateness.at(estimate.wait) + own_pause_loss(server, profile));
-    auto const harm
-        = std::min(s_max_harm, delayed_streams(server, estimate.unread_tokens, profile) * s_late_stream_loss);
+    auto const delay_loss
+        = std::min(s_max_delay_loss, delayed_streams(server, estimate.unread_tokens, profile) * s_late_stream_loss);
     auto const occupancy_loss = (own_prefill + fetch) / profile.lateness.target * m_settings.reading_weight;
     auto const timeout_loss = profile.lateness.elapsed + estimate.wait > profile.lateness.patience ? s_timeout_loss : 0;
-    estimate.loss = own_loss + harm + occupancy_loss + timeout_loss + slot_loss(load, server.record().slots);
+    estimate.loss = own_loss + delay_loss + occupancy_loss + timeout_loss + slot_loss(load, server.record().slots);
     return estimate;
 }
 
--- a/Libraries/LibGateway/PlacementPolicy.h
+++ b/Libraries/LibGateway/PlacementPolicy.h
@@ -140,7 +140,7 @@
     [[nodiscard]] double copy_loss(
         Candidate const&, CacheEstimate const&, std::size_t index, RequestProfile const&) const;
     [[nodiscard]] double domain_loss(BackendView const&, RoutedRequest const&) const;
-    /// Returns the probability that the request's own stream misses its pause target there, weighted by the loss.
+    /// Returns the expected loss of the request's own stream by pauses above its target.
     [[nodiscard]] static double own_pause_loss(BackendView const&, RequestProfile const&);
     /// Returns the expected number of streams that a prefill of this size makes late, including streams that arrive
     /// meanwhile.
--- a/Libraries/LibGateway/RequestForwarder.cpp
+++ b/Libraries/LibGateway/RequestForwarder.cpp
@@ -29,7 +29,7 @@
     , m_request(std::move(request))
     , m_caller(std::move(caller))
 {
-    m_caller->set_on_disconnect([this] { handle_caller_gone(); });
+    m_caller->set_on_disconnect([this] { handle_caller_disconnect(); });
 }
 
 RequestForwarder::~RequestForwarder()
@@ -49,7 +49,7 @@
 void RequestForwarder::dispatch(Core::MonotonicTime now)
 {
     if (now >= m_request.deadline)
-        return fail_deadline(now);
+        return handle_deadline(now);
     // Checked before each dispatch: first attempts, retries, resumed streams and stalled requests.
     if (is_quarantined(now))
         return reject_quarantined();
@@ -442,7 +442,7 @@
     if (m_is_over)
         return;
     if (now >= m_request.deadline)
-        return fail_deadline(now);
+        return handle_deadline(now);
     if (!m_attempt)
         return dispatch(now);
     if (is_quarantined(now) && !has_long_running_attempt(now))
@@ -514,7 +514,7 @@
     retry("the backend server stopped responding", now);
 }
 
-void RequestForwarder::fail_deadline(Core::MonotonicTime now)
+void RequestForwarder::handle_deadline(Core::MonotonicTime now)
 {
     if (m_attempt && m_attempt->is_sent()) {
         m_may_have_run = true;
@@ -535,7 +535,7 @@
     m_attempt.reset();
 }
 
-void RequestForwarder::handle_caller_gone()
+void RequestForwarder::handle_caller_disconnect()
 {
     if (m_is_over)
         return;
--- a/Libraries/LibGateway/RequestForwarder.h
+++ b/Libraries/LibGateway/RequestForwarder.h
@@ -193,8 +193,8 @@
     [[nodiscard]] bool is_stalled(Core::MonotonicTime now) const;
     void replace_stalled_attempt(Core::MonotonicTime now);
 
-    void handle_caller_gone();
-    void fail_deadline(Core::MonotonicTime now);
+    void handle_caller_disconnect();
+    void handle_deadline(Core::MonotonicTime now);
     /// Sends an error response of the gateway itself: 503 if nothing ran, otherwise the given status.
     void fail(int status_if_may_have_run, std::string code, std::string message,
         std::optional<Core::Milliseconds> retry_after = std::nullopt);
