--- a/Libraries/LibGateway/CallerConnection.cpp
+++ b/Libraries/LibGateway/CallerConnection.cpp
@@ -108,7 +108,7 @@
     auto head = std::move(m_parser->head());
     auto body = std::move(m_parser->body());
     m_parser.reset();
-    m_has_sent_continue = false;
+    m_has_checked_expect = false;
     m_state = State::Responding;
     m_is_head_request = head.method == "HEAD";
     m_caller_keeps_open = head.keeps_connection();
@@ -120,9 +120,9 @@
 
 void CallerConnection::send_continue()
 {
-    if (m_has_sent_continue || !m_parser->has_head())
+    if (m_has_checked_expect || !m_parser->has_head())
         return;
-    m_has_sent_continue = true;
+    m_has_checked_expect = true;
     if (!HTTP::has_token(m_parser->head().fields.value_or("Expect", ""), "100-continue"))
         return;
     m_output += "HTTP/1.1 100 Continue\r\n\r\n";
--- a/Libraries/LibGateway/CallerConnection.h
+++ b/Libraries/LibGateway/CallerConnection.h
@@ -116,7 +116,7 @@
     std::optional<HTTP::RequestParser> m_parser;
     /// Whether a byte of the current request has arrived.
     bool m_has_request_started {false};
-    bool m_has_sent_continue {false};
+    bool m_has_checked_expect {false};
     Core::MonotonicTime m_request_started_at;
     Core::MonotonicTime m_last_activity;
 
--- a/Libraries/LibGateway/RoutedRequest.cpp
+++ b/Libraries/LibGateway/RoutedRequest.cpp
@@ -95,7 +95,7 @@
     request.deadline = std::min(request.deadline, *request.caller_deadline);
 }
 
-void parse_prompt_parts(RoutedRequest& request, Dialect const& dialect)
+void parse_prompt(RoutedRequest& request, Dialect const& dialect)
 {
     auto const counts = request.head.fields.value_or(dialect.token_counts, "");
     auto const comma = counts.find(',');
@@ -163,7 +163,7 @@
     request.service = pick_service(*request.route, request.id);
     request.priority = engine_priority(request);
     set_deadlines(request, dialect);
-    parse_prompt_parts(request, dialect);
+    parse_prompt(request, dialect);
     return request;
 }
 
--- a/Tests/LibGateway/OverloadTest.cpp
+++ b/Tests/LibGateway/OverloadTest.cpp
@@ -179,7 +179,7 @@
         return static_cast<std::uint32_t>(std::clamp(sample, 1.0, mean * max_means));
     }
 
-    [[nodiscard]] RoutedRequest make_call(Kind const& kind, SimulatedTime now)
+    [[nodiscard]] RoutedRequest make_request(Kind const& kind, SimulatedTime now)
     {
         auto const subject = m_generator() % kind.subject_count;
         // Gives the same numbers for each request about this subject.
@@ -193,8 +193,8 @@
         head.fields.add("Granitefield-Remaining-Ms", std::to_string(static_cast<int>(kind.patience.count())));
         head.fields.add("Granitefield-Prompt-Parts",
             Core::concat(kind.name, subject, ":", shared_tokens, ",own", ++m_requests, ":", own_tokens));
-        auto read = route_request(std::move(head), "", m_table, {}, at(now));
-        return std::get<RoutedRequest>(std::move(read));
+        auto routed = route_request(std::move(head), "", m_table, {}, at(now));
+        return std::get<RoutedRequest>(std::move(routed));
     }
 
     void arrive(std::size_t number)
@@ -205,18 +205,18 @@
         ++outcome.requested;
         bool const is_after = now >= m_burst_start + m_burst + 2s && now < m_burst_start + m_burst + 4s;
         outcome.requested_after += is_after ? 1 : 0;
-        auto call = make_call(kind, now);
-        auto const choice = m_fleet.choose(call, {}, at(now));
-        Policy::AdmissionQuestion const question {call.service, call.request_class->name, call.priority,
+        auto request = make_request(kind, now);
+        auto const choice = m_fleet.choose(request, {}, at(now));
+        Policy::AdmissionQuestion const question {request.service, request.request_class->name, request.priority,
             SimulatedTime(0), choice.predicted_wait, kind.target, kind.patience};
         if (m_admission_control == AdmissionControl::On && m_admission.refuse(question, 0.5, at(now))) {
             ++outcome.refused;
             return;
         }
-        send(number, call, choice, is_after);
+        send(number, request, choice, is_after);
     }
 
-    void send(std::size_t number, RoutedRequest const& call, Choice const& choice, bool is_after)
+    void send(std::size_t number, RoutedRequest const& request, Choice const& choice, bool is_after)
     {
         struct Run {
             SimulatedTime started_at;
@@ -230,10 +230,10 @@
         run->started_at = m_next_arrival.at(number);
         run->load = {1, choice.unread_tokens, choice.is_pause_sensitive ? 1U : 0U};
         choice.server->begin_attempt(run->load);
-        choice.server->prefixes().note_prefill(call.prompt);
+        choice.server->prefixes().note_prefill(request.prompt);
         SimulatedStream stream;
-        stream.priority = call.priority;
-        stream.prompt = call.prompt;
+        stream.priority = request.priority;
+        stream.prompt = request.prompt;
         stream.output_tokens = kind.output_tokens;
         stream.deadline = run->started_at + kind.patience;
         stream.on_event = [this, run, choice, number](SimulatedTime now) {
--- a/Tests/LibGateway/PauseRulesTest.cpp
+++ b/Tests/LibGateway/PauseRulesTest.cpp
@@ -53,12 +53,13 @@
     }
 
     /// Returns a request with a part that other prompts share, which determines its home, and a part of its own.
-    [[nodiscard]] RoutedRequest call(std::string const& kind, std::uint32_t tokens, std::string const& part) const
+    [[nodiscard]] RoutedRequest make_request(
+        std::string const& kind, std::uint32_t tokens, std::string const& part) const
     {
-        return prompt_call(Core::concat(part, ":", s_shared_part, ",own:", tokens), kind);
+        return make_prompt_request(Core::concat(part, ":", s_shared_part, ",own:", tokens), kind);
     }
 
-    [[nodiscard]] RoutedRequest prompt_call(std::string const& parts, std::string const& kind = "bulk") const
+    [[nodiscard]] RoutedRequest make_prompt_request(std::string const& parts, std::string const& kind = "bulk") const
     {
         HTTP::RequestHead head;
         head.method = "POST";
@@ -79,7 +80,7 @@
         server.end_attempt(load);
     }
 
-    [[nodiscard]] Choice choose(RoutedRequest const& call) { return m_fleet.choose(call, {}, s_now); }
+    [[nodiscard]] Choice choose(RoutedRequest const& request) { return m_fleet.choose(request, {}, s_now); }
 
     Testing::NullDescriptor m_log_descriptor;
     Observe::MetricRegistry m_metrics;
@@ -96,8 +97,8 @@
     for (auto const pause : {310ms, 60ms}) {
         m_settings.engine_prior.longest_pause = pause;
         m_fleet.set_settings(m_settings);
-        EXPECT_EQ(choose(call("chat", 1'000, "p")).is_pause_sensitive, pause == 310ms);
-        EXPECT_FALSE(choose(call("bulk", 1'000, "p")).is_pause_sensitive);
+        EXPECT_EQ(choose(make_request("chat", 1'000, "p")).is_pause_sensitive, pause == 310ms);
+        EXPECT_FALSE(choose(make_request("bulk", 1'000, "p")).is_pause_sensitive);
     }
 }
 
@@ -105,69 +106,69 @@
 {
     m_settings.engine_prior.longest_pause = 310ms;
     m_fleet.set_settings(m_settings);
-    auto const long_call = call("bulk", s_long_prompt, "p");
-    auto const home = choose(long_call).server;
+    auto const long_request = make_request("bulk", s_long_prompt, "p");
+    auto const home = choose(long_request).server;
     home->begin_attempt({1, 0, 1});
-    EXPECT_NE(choose(long_call).server, home);
+    EXPECT_NE(choose(long_request).server, home);
 }
 
 TEST_F(PauseRules, MarksClassesWithTargetsBelowTheObservedPauseAsSensitive)
 {
     observe_pauses(310ms);
-    EXPECT_TRUE(choose(call("chat", 1'000, "p")).is_pause_sensitive);
-    EXPECT_FALSE(choose(call("bulk", 1'000, "p")).is_pause_sensitive);
+    EXPECT_TRUE(choose(make_request("chat", 1'000, "p")).is_pause_sensitive);
+    EXPECT_FALSE(choose(make_request("bulk", 1'000, "p")).is_pause_sensitive);
 }
 
 TEST_F(PauseRules, MarksNoClassAsSensitiveOnFastEngines)
 {
     observe_pauses(60ms);
-    EXPECT_FALSE(choose(call("chat", 1'000, "p")).is_pause_sensitive);
+    EXPECT_FALSE(choose(make_request("chat", 1'000, "p")).is_pause_sensitive);
 }
 
 TEST_F(PauseRules, PlacesLongPromptsAwayFromSensitiveStreams)
 {
     observe_pauses(310ms);
-    auto const long_call = call("bulk", s_long_prompt, "p");
-    auto const home = choose(long_call).server;
+    auto const long_request = make_request("bulk", s_long_prompt, "p");
+    auto const home = choose(long_request).server;
     // A stream that is not sensitive does not move the prompt from the engine that has cached its shared part.
     home->begin_attempt({1, 0, 0});
-    EXPECT_EQ(choose(long_call).server, home);
+    EXPECT_EQ(choose(long_request).server, home);
     home->begin_attempt({1, 0, 1});
-    EXPECT_NE(choose(long_call).server, home);
+    EXPECT_NE(choose(long_request).server, home);
     // A short prompt is prefilled within one step and may stay.
-    EXPECT_EQ(choose(call("bulk", 100, "p")).server, home);
+    EXPECT_EQ(choose(make_request("bulk", 100, "p")).server, home);
 }
 
 TEST_F(PauseRules, PlacesSensitiveStreamsAwayFromLongPrefills)
 {
     observe_pauses(310ms);
-    auto const home = choose(call("chat", 1'000, "p")).server;
+    auto const home = choose(make_request("chat", 1'000, "p")).server;
     // The wait for this prefill is shorter than the target, but it makes streams late.
     home->begin_attempt({1, EngineModel::s_initial_long_prefill, 0});
-    EXPECT_NE(choose(call("chat", 1'000, "p")).server, home);
+    EXPECT_NE(choose(make_request("chat", 1'000, "p")).server, home);
 }
 
 TEST_F(PauseRules, PlacesSensitiveStreamsAwayFromRecentLongPrefills)
 {
     observe_pauses(310ms);
-    auto const home = choose(call("chat", 1'000, "p")).server;
+    auto const home = choose(make_request("chat", 1'000, "p")).server;
     ServerLoad load {1, s_long_prompt, 0};
     home->begin_attempt(load);
     auto now = s_now;
     for (int count = 0; count < 20; ++count)
         m_fleet.observe(now += BackendFleet::s_observation_interval);
     home->end_attempt(load);
-    EXPECT_NE(choose(call("chat", 1'000, "p")).server, home);
+    EXPECT_NE(choose(make_request("chat", 1'000, "p")).server, home);
 }
 
 TEST_F(PauseRules, DoesNotQueuePrefillsWhereStreamsAreAlreadyLate)
 {
     observe_pauses(310ms);
-    auto const long_call = call("bulk", s_long_prompt, "p");
-    auto const home = choose(long_call).server;
+    auto const long_request = make_request("bulk", s_long_prompt, "p");
+    auto const home = choose(long_request).server;
     home->begin_attempt({3, EngineModel::s_initial_long_prefill, 2});
     // The first prefill makes the current streams late; the second would delay streams that arrive meanwhile.
-    EXPECT_NE(choose(long_call).server, home);
+    EXPECT_NE(choose(long_request).server, home);
 }
 
 TEST_F(PauseRules, DoesNotQueueAllLongPromptsAtTheEngineWithoutSensitiveStreams)
@@ -182,7 +183,7 @@
     for (int number = 0; number < 30; ++number) {
         bool const is_one_free = std::ranges::any_of(
             m_fleet.all(), [](auto const& item) { return item.second->load().unread_tokens == 0; });
-        auto const choice = choose(call("bulk", s_long_prompt, Core::concat("p", number)));
+        auto const choice = choose(make_request("bulk", s_long_prompt, Core::concat("p", number)));
         EXPECT_FALSE(is_one_free && choice.predicted_wait > timeout) << number;
         choice.server->begin_attempt({1, choice.unread_tokens, 0});
     }
@@ -193,7 +194,7 @@
 TEST_F(PauseRules, LimitsCopiesOfSharedPartsToFewEngines)
 {
     for (int number = 0; number < 20; ++number) {
-        auto const prompt = prompt_call(Core::concat("case-", number, ":13000,own:100"));
+        auto const prompt = make_prompt_request(Core::concat("case-", number, ":13000,own:100"));
         auto const home = choose(prompt).server;
         home->prefixes().note_prefill(prompt.prompt);
         ServerLoad queued_prefill {1, 90'000, 0};
@@ -211,7 +212,7 @@
 
 TEST_F(PauseRules, FetchesAPromptFromTheEngineWithTheLongestCachedPrefix)
 {
-    auto const first = prompt_call("a:4000,b:4000,own:100");
+    auto const first = make_prompt_request("a:4000,b:4000,own:100");
     auto const home = choose(first).server;
     home->prefixes().note_prefill(first.prompt);
     EXPECT_EQ(choose(first).source, nullptr);
@@ -227,18 +228,18 @@
 
 TEST_F(PauseRules, FetchesNothingFromALeavingOrFailedEngine)
 {
-    auto const call = prompt_call("a:4000,b:4000,own:100");
-    auto const home = choose(call).server;
-    home->prefixes().note_prefill(call.prompt);
+    auto const request = make_prompt_request("a:4000,b:4000,own:100");
+    auto const home = choose(request).server;
+    home->prefixes().note_prefill(request.prompt);
     auto record = home->record();
     record.state = Table::BackendServerState::Leaving;
     home->set_record(record);
-    EXPECT_NE(choose(call).source, home);
+    EXPECT_NE(choose(request).source, home);
     record.state = Table::BackendServerState::Serving;
     home->set_record(record);
     home->note_unreachable(1, s_now);
-    EXPECT_NE(choose(call).server, home);
-    EXPECT_NE(choose(call).source, home);
+    EXPECT_NE(choose(request).server, home);
+    EXPECT_NE(choose(request).source, home);
 }
 
 TEST_F(PauseRules, DoesNotFillTheSlotsOfAnEngineWhileOthersHaveFreeOnes)
@@ -255,7 +256,7 @@
         m_fleet.observe(now += BackendFleet::s_observation_interval);
     auto const slots = last->record().slots;
     for (unsigned number = 0; number < 2 * slots; ++number)
-        choose(call("chat", 100, "p")).server->begin_attempt({1, 0, 1});
+        choose(make_request("chat", 100, "p")).server->begin_attempt({1, 0, 1});
     // A request that finds no slot waits, or preempts a less urgent request whose prompt is prefilled again.
     EXPECT_GT(last->load().open, slots / 4);
     EXPECT_LT(last->load().open, slots);
@@ -265,7 +266,7 @@
 {
     std::set<std::string> used;
     for (int number = 0; number < 3; ++number) {
-        auto const choice = choose(prompt_call("own:5000"));
+        auto const choice = choose(make_prompt_request("own:5000"));
         choice.server->begin_attempt({1, choice.unread_tokens, 0});
         used.insert(choice.server->record().instance);
     }
@@ -277,7 +278,7 @@
     if (*rc::gen::arbitrary<bool>())
         observe_pauses(std::chrono::milliseconds(*rc::gen::inRange(50, 500)));
     auto const kind = *rc::gen::element<std::string>("chat", "bulk");
-    auto const request = call(kind, *rc::gen::inRange(100U, 20'000U), "p");
+    auto const request = make_request(kind, *rc::gen::inRange(100U, 20'000U), "p");
     for (auto const& [instance, view] : m_fleet.all()) {
         view->begin_attempt(
             {*rc::gen::inRange(0U, 30U), *rc::gen::inRange<std::uint64_t>(0, 60'000), *rc::gen::inRange(0U, 10U)});
