--- a/Libraries/LibGateway/PlacementPolicy.cpp
+++ b/Libraries/LibGateway/PlacementPolicy.cpp
@@ -67,7 +67,7 @@
 
 }
 
-void PlacementPolicy::apply_table(Table::Table const& table)
+void PlacementPolicy::apply(Table::Table const& table)
 {
     m_tightest_pause_targets.clear();
     for (auto const& [name, route] : table.routes()) {
@@ -149,7 +149,7 @@
         return 0;
     auto const& model = *profile.model;
     auto const late_by_current = model.late_probability(profile.pause_target, server.load().unread_tokens);
-    auto const prefill_arrives = 1 - std::exp(-server.reading_share() * s_prefills_per_stream);
+    auto const prefill_arrives = 1 - std::exp(-server.prefill_fraction() * s_prefills_per_stream);
     auto const late_by_arriving = prefill_arrives * model.late_probability(profile.pause_target, model.long_prefill());
     return s_late_stream_loss * (1 - (1 - late_by_current) * (1 - late_by_arriving));
 }
--- a/Libraries/LibGateway/PlacementPolicy.h
+++ b/Libraries/LibGateway/PlacementPolicy.h
@@ -85,7 +85,7 @@
     }
 
     /// Reads the pause targets of each service.
-    void apply_table(Table::Table const&);
+    void apply(Table::Table const&);
 
     /// Returns the best candidate; no server if there is none.
     [[nodiscard]] Choice choose(std::vector<Candidate> const&, RoutedRequest const&, Core::MonotonicTime now) const;
--- a/Libraries/LibGateway/RequestForwarder.cpp
+++ b/Libraries/LibGateway/RequestForwarder.cpp
@@ -186,19 +186,19 @@
         m_held_since = now;
     auto const target = m_request.request_class->first_token_target;
     auto const limit = std::min(m_context.settings.hold_limit, target / 4);
-    auto const opening = m_context.fleet.next_opening(m_request, now);
-    bool const opens_too_late = opening && Core::elapsed(*m_held_since, opening->here) > limit;
-    if (!has_been_sent && !opens_too_late && Core::elapsed(*m_held_since, now) < limit)
+    auto const earliest = m_context.fleet.earliest_send(m_request, now);
+    bool const is_too_late = earliest && Core::elapsed(*m_held_since, earliest->here) > limit;
+    if (!has_been_sent && !is_too_late && Core::elapsed(*m_held_since, now) < limit)
         return;
-    if (opening)
+    if (earliest)
         return fail(Status::s_bad_gateway, "servers_limited", "no backend server accepts requests before that time",
-            retry_delay(*opening, now));
+            retry_delay(*earliest, now));
     fail(Status::s_bad_gateway, "no_backend_server", "no backend server of the service is reachable");
 }
 
-Core::Milliseconds RequestForwarder::retry_delay(Opening const& opening, Core::MonotonicTime now) const
+Core::Milliseconds RequestForwarder::retry_delay(EarliestSend const& earliest, Core::MonotonicTime now) const
 {
-    return Policy::return_delay(Core::elapsed(now, opening.anywhere), m_request.priority, request_fraction());
+    return Policy::return_delay(Core::elapsed(now, earliest.anywhere), m_request.priority, request_fraction());
 }
 
 void RequestForwarder::send_to(Choice const& choice, Core::MonotonicTime now)
@@ -360,9 +360,9 @@
         return retry("the backend server did not run the request", now);
     if (m_has_started_response)
         return abort_response("no backend server resumed the stream");
-    auto const opening = m_context.fleet.next_opening(m_request, now);
+    auto const earliest = m_context.fleet.earliest_send(m_request, now);
     fail(Status::s_bad_gateway, "refused", "the backend server did not accept the request",
-        opening ? std::optional(retry_delay(*opening, now)) : std::nullopt);
+        earliest ? std::optional(retry_delay(*earliest, now)) : std::nullopt);
 }
 
 void RequestForwarder::handle_broken_attempt(std::string const& reason, Core::MonotonicTime now)
@@ -372,9 +372,9 @@
     auto const head_received_at = m_attempt->head_received_at();
     auto const sent = m_attempt->started_at();
     count_unanswered_attempt();
-    m_context.crashes.note_break(m_attempt->server(), m_request.digest(), exposure(now), now);
+    m_context.crashes.note_broken_answer(m_attempt->server(), m_request.digest(), exposure(now), now);
     if (m_context.usage != nullptr && m_request.is_stream() && !*m_is_usage_counted && !m_request.workspace.empty())
-        m_context.unseen_runs.add(m_choice.server, m_request.workspace, m_is_usage_counted, now);
+        m_context.unconfirmed_runs.add(m_choice.server, m_request.workspace, m_is_usage_counted, now);
     end_attempt(AttemptResult::Failure, now);
     m_buffered_response.clear();
     m_context.log.write(
--- a/Libraries/LibGateway/RequestForwarder.h
+++ b/Libraries/LibGateway/RequestForwarder.h
@@ -4,11 +4,11 @@
 #include <LibGateway/BackendAttempt.h>
 #include <LibGateway/BackendFleet.h>
 #include <LibGateway/CallerConnection.h>
-#include <LibGateway/CrashWatch.h>
+#include <LibGateway/CrashDetector.h>
 #include <LibGateway/GatewayMetrics.h>
 #include <LibGateway/LoadExchange.h>
 #include <LibGateway/RoutedRequest.h>
-#include <LibGateway/UnseenRuns.h>
+#include <LibGateway/UnconfirmedRuns.h>
 #include <LibHTTP/EventFramer.h>
 #include <LibObserve/EventLog.h>
 #include <LibPolicy/Admission.h>
@@ -77,10 +77,10 @@
     Dialect dialect;
     BackendFleet& fleet;
     LoadExchange& load;
-    CrashWatch& crashes;
+    CrashDetector& crashes;
     /// Counts requests that start to run; null if usage is not reported.
     Cluster::SharedDuty* usage;
-    UnseenRuns unseen_runs;
+    UnconfirmedRuns unconfirmed_runs;
     Policy::Admission admission;
     /// Retry budgets by service.
     std::map<std::string, Policy::FleetRetryBudget> budgets;
@@ -130,8 +130,8 @@
     [[nodiscard]] std::optional<Policy::Rejection> check_admission(Choice const&, Core::MonotonicTime now);
     /// Returns a number from 0 to 1 derived from the request's id.
     [[nodiscard]] double request_fraction() const;
-    /// Returns the delay to send as Retry-After for a request that can be served at this opening.
-    [[nodiscard]] Core::Milliseconds retry_delay(Opening const&, Core::MonotonicTime now) const;
+    /// Returns the delay to send as Retry-After for a request that can be sent at this time.
+    [[nodiscard]] Core::Milliseconds retry_delay(EarliestSend const&, Core::MonotonicTime now) const;
     void log_rejection(Policy::Rejection const&) const;
     [[nodiscard]] std::string serialize_request(BackendView const&, Core::MonotonicTime now) const;
 
@@ -214,7 +214,7 @@
     unsigned m_send_count {0};
     unsigned m_failed_connects {0};
     bool m_may_have_run {false};
-    /// Whether the request was counted as started; shared with UnseenRuns.
+    /// Whether the request was counted as started; shared with UnconfirmedRuns.
     std::shared_ptr<bool> m_is_usage_counted {std::make_shared<bool>(false)};
     bool m_is_over {false};
     std::optional<Core::MonotonicTime> m_held_since;
