--- a/Libraries/LibGateway/GatewayServer.cpp
+++ b/Libraries/LibGateway/GatewayServer.cpp
@@ -204,7 +204,7 @@
 
 Core::MonotonicTime GatewayServer::deferral_deadline(HTTP::RequestHead const& head, Core::MonotonicTime received) const
 {
-    auto const caller_timeout = caller_timeout(head, m_settings.dialect);
+    auto const caller_timeout = read_caller_timeout(head, m_settings.dialect);
     return received + DeferredRequests::wait_limit(caller_timeout.value_or(DeferredRequests::s_max_wait * 4));
 }
 
--- a/Libraries/LibGateway/RoutedRequest.cpp
+++ b/Libraries/LibGateway/RoutedRequest.cpp
@@ -88,7 +88,7 @@
 void set_deadlines(RoutedRequest& request, Dialect const& dialect)
 {
     request.deadline = request.received + request.route->time_limit;
-    auto const timeout = caller_timeout(request.head, dialect);
+    auto const timeout = read_caller_timeout(request.head, dialect);
     if (!timeout)
         return;
     request.caller_deadline = request.received + *timeout;
@@ -130,7 +130,7 @@
     return request.prompt.empty() ? 0 : request.prompt.back().tokens;
 }
 
-std::optional<Core::Milliseconds> caller_timeout(HTTP::RequestHead const& head, Dialect const& dialect)
+std::optional<Core::Milliseconds> read_caller_timeout(HTTP::RequestHead const& head, Dialect const& dialect)
 {
     // Fractions of a millisecond are ignored.
     auto const text = head.fields.value_or(dialect.remaining_time, "");
--- a/Libraries/LibGateway/RoutedRequest.h
+++ b/Libraries/LibGateway/RoutedRequest.h
@@ -80,7 +80,7 @@
 [[nodiscard]] std::uint32_t own_tokens(RoutedRequest const&);
 
 /// Returns the total time that the caller waits, or nullopt if the request does not state it.
-[[nodiscard]] std::optional<Core::Milliseconds> caller_timeout(HTTP::RequestHead const&, Dialect const&);
+[[nodiscard]] std::optional<Core::Milliseconds> read_caller_timeout(HTTP::RequestHead const&, Dialect const&);
 
 /// Returns the request with its table rows, or the error response that rejects it. `table` is null before the first
 /// table arrives.
