--- a/Libraries/LibGateway/OwnAnswer.cpp
+++ b/Libraries/LibGateway/ErrorResponse.cpp
@@ -1,4 +1,4 @@
-#include <LibGateway/OwnAnswer.h>
+#include <LibGateway/ErrorResponse.h>
 
 #include <LibEntry/CallInterpreter.h>
 
@@ -7,14 +7,14 @@
 
 namespace GraniteField::Gateway {
 
-std::string format_retry_after(Core::Milliseconds duration, RetryAfterForm form)
+std::string format_retry_after(Core::Milliseconds duration, RetryAfterFormat form)
 {
-    if (form == RetryAfterForm::WholeSeconds)
+    if (form == RetryAfterFormat::WholeSeconds)
         return std::to_string(Entry::retry_after_seconds(duration));
     return absl::StrFormat("%.3f", std::chrono::duration<double>(duration).count());
 }
 
-void give_own_answer(
+void send_error_response(
     CallerConnection& caller, Entry::ErrorAnswer const& error, std::string const& request, Dialect const& dialect)
 {
     HTTP::FieldList fields;
@@ -27,7 +27,7 @@
     Json const body {{"error",
         {{"code", error.code}, {"message", error.message}, {"outcome", to_string(error.outcome)},
             {"request", request}}}};
-    // What the caller sent may stand in the text and need not be valid UTF-8.
+    // The message may quote input of the caller that is not valid UTF-8.
     caller.answer(error.status, fields, body.dump(-1, ' ', false, Json::error_handler_t::replace));
 }
 
