--- a/Libraries/LibEntry/TableFollower.cpp
+++ b/Libraries/LibEntry/TableFollower.cpp
@@ -5,16 +5,16 @@
 namespace GraniteField::Entry {
 
 TableFollower::TableFollower(PlatformSettings const& settings, SharedTable& table, PeerExchange& peers,
-    std::function<void()> on_news, Observe::MetricRegistry& metrics)
+    std::function<void()> on_update, Observe::MetricRegistry& metrics)
     : m_watch_wait(settings.watch_wait)
     , m_idle_interval(settings.idle_interval)
     , m_table(table)
     , m_peers(peers)
-    , m_on_news(std::move(on_news))
+    , m_on_update(std::move(on_update))
     , m_metrics(metrics)
     , m_client(settings.address, settings.call_timeout)
     , m_store(m_client)
-    , m_backoff(settings.shortest_pause, settings.longest_pause)
+    , m_backoff(settings.min_retry_delay, settings.max_retry_delay)
     , m_thread([this] { run(); })
 {
 }
@@ -42,9 +42,9 @@
             if (m_backoff.is_stopped())
                 return;
             m_metrics.counter("granitefield_platform_failures_total").add();
-            LOG_EVERY_N(WARNING, 10) << "table: the platform gives no table: " << error.what();
+            LOG_EVERY_N(WARNING, 10) << "table: cannot read the table from the platform: " << error.what();
             m_peers.set_platform_reachable(false);
-            // A watch can't tell what was missed meanwhile; the next read does.
+            // A watch does not report changes made before it started; the next read does.
             m_has_read = false;
             m_backoff.wait_after_failure();
         }
@@ -66,7 +66,7 @@
 {
     auto const version = table.version();
     if (m_table.offer(std::move(table)))
-        return m_on_news();
+        return m_on_update();
     auto const current = m_table.current();
     if (current && version < current->version()) {
         m_metrics.counter("granitefield_older_tables_total").add();
--- a/Libraries/LibEntry/WatchDuty.cpp
+++ b/Libraries/LibEntry/WatchDuty.cpp
@@ -8,19 +8,19 @@
 
 namespace {
 
-/// Parts of the time within which a process that reaches the store counts on being in step with it. The first gateways
-/// step in after one of them, the last after two, so that some do when all watchers have died, and not all at once;
-/// what they learn is known to the others some 200 ms later.
-constexpr int s_patience_parts = 4;
+/// Parts of the contact time. The silence timeouts of gateways lie between one and two parts, so that some gateways
+/// watch when all watchers have died, but not all at once. The others receive what these read some 200 ms later.
+constexpr int s_silence_parts = 4;
 
-/// Parts of the promised time within which a change holds. Who is behind asks the store after one to two of them; two
-/// more are left for an answer of the store, and for a second call where the first one is lost.
+/// Parts of the time within which a change must be in force. A gateway that is behind reads from the store after one to
+/// two parts. Two more are left for the store's answer, and for a second call if the first one is lost.
 constexpr int s_behind_parts = 5;
 
-/// From once to twice that time, for each gateway another.
-Core::Milliseconds spread_of(Core::Milliseconds least, std::uint64_t order)
+/// Returns a time between `min_time` and twice that, depending on the gateway.
+Core::Milliseconds spread_over_gateways(Core::Milliseconds min_time, std::uint64_t order)
 {
-    return least + Core::Milliseconds(static_cast<std::int64_t>(order % static_cast<std::uint64_t>(least.count() + 1)));
+    return min_time
+        + Core::Milliseconds(static_cast<std::int64_t>(order % static_cast<std::uint64_t>(min_time.count() + 1)));
 }
 
 WatchElection::Settings election_settings(
@@ -28,8 +28,8 @@
 {
     using DrainsWatch = WatchElection::DrainsWatch;
     WatchElection::Settings settings;
-    settings.patience = spread_of(contact_time / s_patience_parts, order);
-    settings.behind_limit = spread_of(apply_limit / s_behind_parts, order);
+    settings.silence_timeout = spread_over_gateways(contact_time / s_silence_parts, order);
+    settings.behind_timeout = spread_over_gateways(apply_limit / s_behind_parts, order);
     settings.drains = drains == nullptr ? DrainsWatch::No : DrainsWatch::Yes;
     return settings;
 }
@@ -51,8 +51,8 @@
 void WatchDuty::set_elected(bool value)
 {
     std::lock_guard const lock(m_mutex);
-    // Ticks of another thread would hide that the one which takes reports is late.
-    if (!m_takes_reports)
+    // Ticks of another thread would hide a stall of the thread that passes reports.
+    if (!m_receives_reports)
         m_election.note_tick(Core::monotonic_now());
     if (std::exchange(m_is_elected, value) == value)
         return;
@@ -60,51 +60,51 @@
     m_signal.notify_all();
 }
 
-void WatchDuty::look_at_versions(Core::MonotonicTime now)
+void WatchDuty::record_versions(Core::MonotonicTime now)
 {
     auto const table = m_table.current();
-    SpreadVersions const own {table ? table->version() : Core::TableVersion(),
+    StateVersions const own {table ? table->version() : Core::TableVersion(),
         m_drains == nullptr ? DrainsVersion() : m_drains->version(), m_servers.settled_revision()};
     m_election.note_versions(own, now);
 }
 
-void WatchDuty::note_joining(WatchElection::Others others, Core::MonotonicTime now)
+void WatchDuty::note_joining(WatchElection::PeerDiscovery discovery, Core::MonotonicTime now)
 {
     std::lock_guard const lock(m_mutex);
-    m_election.note_joining(others, now);
+    m_election.note_joining(discovery, now);
 }
 
 void WatchDuty::note_report(StoreReport const& report, Core::MonotonicTime now)
 {
     std::lock_guard const lock(m_mutex);
-    m_takes_reports = true;
+    m_receives_reports = true;
     m_election.note_tick(now);
-    look_at_versions(now);
+    record_versions(now);
     m_election.note_report(report, now);
-    wake_if_sooner(now);
+    wake_if_earlier(now);
 }
 
-void WatchDuty::wake_if_sooner(Core::MonotonicTime now)
+void WatchDuty::wake_if_earlier(Core::MonotonicTime now)
 {
-    // They have worked out when to look from what was known then. Without this one that had learned just now that it is
-    // behind looked up to half the contact time later.
-    if (m_election.next_look(now) >= m_next_look)
+    // The followers chose the time of their next check before this report. Without a wake-up, a gateway that has just
+    // learned that it is behind would check up to half the contact time too late.
+    if (m_election.next_check(now) >= m_next_check)
         return;
-    m_next_look = Core::MonotonicTime::max();
+    m_next_check = Core::MonotonicTime::max();
     m_signal.notify_all();
 }
 
 StoreReport WatchDuty::report(Core::MonotonicTime now)
 {
     std::lock_guard const lock(m_mutex);
-    look_at_versions(now);
+    record_versions(now);
     return m_election.report(now);
 }
 
 StoreKnowledge WatchDuty::knowledge(Core::MonotonicTime now)
 {
     std::lock_guard const lock(m_mutex);
-    look_at_versions(now);
+    record_versions(now);
     return m_election.knowledge(now);
 }
 
@@ -121,7 +121,7 @@
     m_signal.notify_all();
 }
 
-void WatchDuty::tell_change(bool is_on_duty, Core::MonotonicTime now)
+void WatchDuty::log_duty_change(bool is_on_duty, Core::MonotonicTime now)
 {
     if (std::exchange(m_was_on_duty, is_on_duty) == is_on_duty)
         return;
@@ -131,26 +131,26 @@
                     .add("elected", m_is_elected)
                     .add("reason", to_string(m_election.duty_reason()))
                     .add("silence_ms", m_election.silence(now))
-                    .add("lost_ms", m_election.lost_time()));
+                    .add("lost_ms", m_election.stalled_time()));
 }
 
 FollowerTurn WatchDuty::Follower::wait_for_turn()
 {
     auto& duty = m_duty.get();
     std::unique_lock lock(duty.m_mutex);
-    bool has_waited = !std::exchange(m_has_begun, true);
+    bool has_waited = !std::exchange(m_has_started, true);
     while (!duty.m_is_stopped) {
         auto const now = Core::monotonic_now();
-        duty.look_at_versions(now);
+        duty.record_versions(now);
         bool const is_on_duty = duty.m_election.is_on_duty(now);
-        duty.tell_change(is_on_duty, now);
+        duty.log_duty_change(is_on_duty, now);
         if (is_on_duty && !has_waited)
             return FollowerTurn::GoOn;
         if (is_on_duty)
-            return duty.m_election.is_store_in_doubt(now) ? FollowerTurn::ResumeInDoubt : FollowerTurn::Resume;
+            return duty.m_election.is_store_suspected(now) ? FollowerTurn::ResumeInDoubt : FollowerTurn::Resume;
         has_waited = true;
-        duty.m_next_look = duty.m_election.next_look(now);
-        duty.m_signal.wait_until(lock, duty.m_next_look);
+        duty.m_next_check = duty.m_election.next_check(now);
+        duty.m_signal.wait_until(lock, duty.m_next_check);
     }
     return FollowerTurn::Stop;
 }
--- a/Libraries/LibEntry/WatchElection.cpp
+++ b/Libraries/LibEntry/WatchElection.cpp
@@ -6,71 +6,71 @@
 
 namespace {
 
-/// Time until the next look while the thread that takes reports is late.
-constexpr Core::Milliseconds s_late_look {100};
+/// Interval of checks while the thread that receives reports is late.
+constexpr Core::Milliseconds s_late_check_interval {100};
 
 }
 
 void StoreReport::merge(StoreReport const& other)
 {
     // An absent time compares as earlier than any other.
-    elected = std::max(elected, other.elected);
-    any = std::max({any, other.any, other.elected});
+    elected_healthy_at = std::max(elected_healthy_at, other.elected_healthy_at);
+    any_healthy_at = std::max({any_healthy_at, other.any_healthy_at, other.elected_healthy_at});
     versions.merge(other.versions);
 }
 
 void WatchElection::set_elected(bool value)
 {
-    if (value && !m_is_elected && !m_stepped_in)
-        begin_duty();
+    if (value && !m_is_elected && !m_took_over_at)
+        reset_contacts();
     m_is_elected = value;
 }
 
 void WatchElection::note_tick(Core::MonotonicTime now)
 {
     bool const was_late = m_running.was_late();
-    auto const lost = m_running.note_tick(now);
-    if (lost.count() == 0)
+    auto const stalled = m_running.note_tick(now);
+    if (stalled.count() == 0)
         return;
     // Keep the time accumulated before; repeated stalls would otherwise restart the timeout forever.
-    m_silent_since = silent_since() + lost;
-    // In a process whose ticks are all late, a new wait at each of them would never end.
+    m_silent_since = silent_since() + stalled;
+    // In a process whose ticks are all late, waiting again after each of them would never end.
     if (!was_late)
-        m_hears_until = now + s_shortest_hearing;
+        m_report_wait_end = now + s_min_report_wait;
     if (m_behind_since)
-        *m_behind_since += lost;
-    // An answer that has come is noted only when its thread runs.
+        *m_behind_since += stalled;
+    // An answer that has arrived is recorded only when its thread runs.
     for (auto& contact : m_contacts)
-        contact.overdue_at += lost;
+        contact.overdue_at += stalled;
 }
 
-void WatchElection::note_joining(Others others, Core::MonotonicTime now)
+void WatchElection::note_joining(PeerDiscovery discovery, Core::MonotonicTime now)
 {
-    // Until the next tick, which may come late.
-    m_hears_until = std::max(m_hears_until, now + m_running.longest_gap());
-    if (others == Others::Found)
+    // Covers the time until the next tick, which may be late.
+    m_report_wait_end = std::max(m_report_wait_end, now + m_running.longest_gap());
+    if (discovery == PeerDiscovery::Found)
         m_silent_since = std::max(m_silent_since, now);
 }
 
 void WatchElection::note_report(StoreReport const& report, Core::MonotonicTime now)
 {
-    if (report.versions.table > std::max(m_heard.versions.table, m_own.table))
+    if (report.versions.table > std::max(m_received_report.versions.table, m_own.table))
         m_table_known_since = now;
-    if (report.any && m_heard.any)
-        m_report_gaps.note(Core::elapsed(*m_heard.any, *report.any));
-    m_heard.merge(report);
-    if (!m_heard.versions.is_ahead_of(m_own) || m_behind_since)
+    if (report.any_healthy_at && m_received_report.any_healthy_at)
+        m_report_gaps.note(Core::elapsed(*m_received_report.any_healthy_at, *report.any_healthy_at));
+    m_received_report.merge(report);
+    if (!m_received_report.versions.is_ahead_of(m_own) || m_behind_since)
         return;
     m_behind_since = now;
-    m_wanted = m_heard.versions;
+    m_missing_versions = m_received_report.versions;
 }
 
-void WatchElection::note_versions(SpreadVersions const& versions, Core::MonotonicTime now)
+void WatchElection::note_versions(StateVersions const& versions, Core::MonotonicTime now)
 {
-    if (versions.table > std::max(m_heard.versions.table, m_own.table))
+    if (versions.table > std::max(m_received_report.versions.table, m_own.table))
         m_table_known_since = now;
     m_own.merge(versions);
-    if (!m_behind_since || m_wanted.is_ahead_of(m_own))
+    if (!m_behind_since || m_missing_versions.is_ahead_of(m_own))
         return;
     m_behind_since.reset();
     note_report({}, now);
@@ -84,7 +84,7 @@
 void WatchElection::note_answer(Watch watch)
 {
     m_contacts.at(static_cast<std::size_t>(watch)).is_answered = true;
-    m_next_retry = m_settings.shortest_retry;
+    m_retry_delay = m_settings.min_retry_delay;
 }
 
 void WatchElection::note_failure(Watch watch, Core::MonotonicTime now)
@@ -93,13 +93,13 @@
     if (m_is_elected)
         return;
     // Back off, so that not all gateways keep calling a store that does not answer.
-    m_stepped_in.reset();
+    m_took_over_at.reset();
     if (!is_behind()) {
-        m_next_try = now + m_settings.patience;
+        m_earliest_retry = now + m_settings.silence_timeout;
         return;
     }
-    m_next_try = now + m_next_retry;
-    m_next_retry = std::min(m_next_retry * 2, m_settings.patience);
+    m_earliest_retry = now + m_retry_delay;
+    m_retry_delay = std::min(m_retry_delay * 2, m_settings.silence_timeout);
 }
 
 bool WatchElection::is_watched(Watch watch) const
@@ -120,71 +120,73 @@
 
 StoreKnowledge WatchElection::knowledge(Core::MonotonicTime now) const
 {
-    auto const heard = is_healthy(now) ? std::optional(now) : m_heard.any;
+    auto const last_healthy = is_healthy(now) ? std::optional(now) : m_received_report.any_healthy_at;
     auto versions = m_own;
-    versions.merge(m_heard.versions);
-    return {versions, m_table_known_since, heard};
+    versions.merge(m_received_report.versions);
+    return {versions, m_table_known_since, last_healthy};
 }
 
 StoreReport WatchElection::report(Core::MonotonicTime now) const
 {
-    StoreReport report = m_heard;
+    StoreReport report = m_received_report;
     report.versions.merge(m_own);
     if (!is_healthy(now))
         return report;
-    report.any = now;
+    report.any_healthy_at = now;
     if (m_is_elected)
-        report.elected = now;
+        report.elected_healthy_at = now;
     return report;
 }
 
 Core::MonotonicTime WatchElection::silent_since() const
 {
-    return std::max(m_heard.any.value_or(m_silent_since), m_silent_since);
+    return std::max(m_received_report.any_healthy_at.value_or(m_silent_since), m_silent_since);
 }
 
-Core::Milliseconds WatchElection::patience() const
+Core::Milliseconds WatchElection::silence_timeout() const
 {
-    // Where hosts run well, changes must be in force in time although all watchers are gone.
-    return m_running.is_slow() ? m_report_gaps.silence_limit(m_settings.patience) : m_settings.patience;
+    // The timeout adapts to the gaps between reports only in a slow process. On other hosts, changes must be in force
+    // in time even if all watchers have failed.
+    return m_running.is_slow() ? m_report_gaps.silence_limit(m_settings.silence_timeout) : m_settings.silence_timeout;
 }
 
-Core::MonotonicTime WatchElection::doubt_begins() const
+Core::MonotonicTime WatchElection::suspicion_time() const
 {
-    return std::max(silent_since() + patience(), m_hears_until);
+    return std::max(silent_since() + silence_timeout(), m_report_wait_end);
 }
 
-bool WatchElection::is_store_in_doubt(Core::MonotonicTime now) const
+bool WatchElection::is_store_suspected(Core::MonotonicTime now) const
 {
-    return now >= doubt_begins();
+    return now >= suspicion_time();
 }
 
-std::optional<Core::MonotonicTime> WatchElection::behind_ends() const
+std::optional<Core::MonotonicTime> WatchElection::behind_deadline() const
 {
     if (!m_behind_since)
         return std::nullopt;
-    return std::max(*m_behind_since + m_settings.behind_limit, m_hears_until);
+    return std::max(*m_behind_since + m_settings.behind_timeout, m_report_wait_end);
 }
 
 bool WatchElection::is_on_duty(Core::MonotonicTime now)
 {
     if (m_is_elected)
         return true;
-    auto const behind_ends_at = behind_ends();
-    bool const is_behind = behind_ends_at && now >= *behind_ends_at;
-    if (m_stepped_in) {
-        bool const is_relieved = m_heard.elected && Core::elapsed(*m_heard.elected, now) <= s_fresh && !is_behind
-            && Core::elapsed(*m_stepped_in, now) >= s_shortest_duty;
-        if (is_relieved)
-            m_stepped_in.reset();
-        return !is_relieved;
+    auto const read_due_at = behind_deadline();
+    bool const is_behind = read_due_at && now >= *read_due_at;
+    if (m_took_over_at) {
+        bool const is_replaced = m_received_report.elected_healthy_at
+            && Core::elapsed(*m_received_report.elected_healthy_at, now) <= s_max_report_age && !is_behind
+            && Core::elapsed(*m_took_over_at, now) >= s_min_duty_time;
+        if (is_replaced)
+            m_took_over_at.reset();
+        return !is_replaced;
     }
-    // Reports may have arrived that the late thread has yet to take.
-    if (m_running.is_late(now) || now < m_next_try || (!is_behind && !is_store_in_doubt(now)))
+    // The late thread may not have processed reports that have already arrived.
+    if (m_running.is_late(now) || now < m_earliest_retry || (!is_behind && !is_store_suspected(now)))
         return false;
-    m_stepped_in = now;
-    m_stepped_in_for = is_behind ? DutyReason::Behind : DutyReason::Silence;
-    begin_duty();
+    m_took_over_at = now;
+    m_takeover_reason = is_behind ? DutyReason::Behind : DutyReason::Silence;
+    reset_contacts();
     return true;
 }
 
@@ -192,7 +194,7 @@
 {
     if (m_is_elected)
         return DutyReason::Elected;
-    return m_stepped_in ? m_stepped_in_for : DutyReason::None;
+    return m_took_over_at ? m_takeover_reason : DutyReason::None;
 }
 
 char const* to_string(WatchElection::DutyReason reason)
@@ -211,13 +213,13 @@
     return "unknown";
 }
 
-Core::MonotonicTime WatchElection::next_look(Core::MonotonicTime now) const
+Core::MonotonicTime WatchElection::next_check(Core::MonotonicTime now) const
 {
-    auto next = doubt_begins();
-    if (auto const behind = behind_ends())
+    auto next = suspicion_time();
+    if (auto const behind = behind_deadline())
         next = std::min(next, *behind);
-    auto const soonest = m_running.is_late(now) ? now + s_late_look : now;
-    return std::max({next, m_next_try, soonest});
+    auto const soonest = m_running.is_late(now) ? now + s_late_check_interval : now;
+    return std::max({next, m_earliest_retry, soonest});
 }
 
 }
--- a/Libraries/LibGateway/GatewayRun.cpp
+++ b/Libraries/LibGateway/GatewayRun.cpp
@@ -3,7 +3,7 @@
 #include <LibCore/Hashing.h>
 #include <LibCore/Text.h>
 #include <LibEntry/CallInterpreter.h>
-#include <LibGateway/OwnAnswer.h>
+#include <LibGateway/ErrorResponse.h>
 #include <LibHTTP/Status.h>
 #include <LibPolicy/RetryAfter.h>
 
@@ -82,7 +82,7 @@
 
 void GatewayRun::hold_back()
 {
-    m_context.metrics.note_held_back();
+    m_context.metrics.note_refused_by_quarantine();
     drop_unsent_attempt();
     if (m_has_begun_answer)
         return cut("quarantined");
@@ -247,7 +247,7 @@
     // set such fields.
     auto const is_kept_back = [&](std::string_view field) {
         auto const is_named = [field](std::string_view name) { return HTTP::is_same_name(name, field); };
-        return std::ranges::any_of(replaced, is_named) || std::ranges::any_of(dialect.engine_orders, is_named);
+        return std::ranges::any_of(replaced, is_named) || std::ranges::any_of(dialect.engine_control_fields, is_named);
     };
     auto const connection = head.fields.value_or("Connection", "");
     bool const is_resumed = m_first_event.has_value();
@@ -559,7 +559,7 @@
     error.code = std::move(code);
     error.message = std::move(message);
     error.retry_after = retry_after.value_or(m_context.settings.retry_after);
-    give_own_answer(*m_caller, error, m_call.id, m_context.dialect);
+    send_error_response(*m_caller, error, m_call.id, m_context.dialect);
     finish(error.outcome, error.status, error.code);
 }
 
@@ -586,7 +586,7 @@
     // Reasons from outside are many; the metric keeps to those of the code.
     m_context.metrics.note_end(m_call.tier, outcome, outcome == Outcome::Cut ? "cut" : std::string(reason));
     if (outcome == Outcome::Done)
-        m_context.metrics.note_whole(m_call.tier, std::chrono::duration_cast<Core::Microseconds>(total));
+        m_context.metrics.note_answer_duration(m_call.tier, std::chrono::duration_cast<Core::Microseconds>(total));
     m_context.log.write(
         Observe::LogEvent("request-end")
             .add("request", m_call.id)
--- a/Tests/LibGateway/DrainRulesTest.cpp
+++ b/Tests/LibGateway/DrainRulesTest.cpp
@@ -54,7 +54,7 @@
     void set_known_membership()
     {
         m_membership.set_load_members({});
-        m_membership.is_acquainted = true;
+        m_membership.is_discovery_complete = true;
     }
 
     Entry::SharedDrains m_drains;
