--- a/Libraries/LibPolicy/LeavingFact.h
+++ b/Libraries/LibPolicy/LeavingFact.h
@@ -5,7 +5,7 @@
 
 namespace GraniteField::Policy {
 
-/// A backend server stated that it is leaving. A server does not retract this during a run.
+/// A backend server stated that it is leaving. A server does not retract this while it runs.
 struct LeavingFact {
     /// When the newest such answer was received.
     Core::MonotonicTime stated;
