--- a/Libraries/LibEntry/PeerView.h
+++ b/Libraries/LibEntry/PeerView.h
@@ -68,7 +68,7 @@
     [[nodiscard]] bool should_watch() const;
     /// Whether this gateway watches the platform. In a small fleet all gateways do.
     [[nodiscard]] bool is_elected() const { return m_peers.size() < s_small_fleet || should_watch(); }
-    /// The peers of its group that come first in the order of relays.
+    /// The first `count` peers of its group in the order of relays.
     [[nodiscard]] std::vector<Peer> preferred_relays(std::size_t count) const;
 
 private:
--- a/Libraries/LibEntry/WatchDuty.cpp
+++ b/Libraries/LibEntry/WatchDuty.cpp
@@ -86,8 +86,8 @@
 
 void WatchDuty::wake_if_earlier(Core::MonotonicTime now)
 {
-    // The followers chose the time of their next check before this report. Without a wake-up, a gateway that has just
-    // learned that it is behind would check up to half the contact time too late.
+    // The followers chose the time of their next check before this report. Without a wake-up, a gateway to which the
+    // report shows that it is behind would check up to half the contact time too late.
     if (m_election.next_check(now) >= m_next_check)
         return;
     m_next_check = Core::MonotonicTime::max();
