--- a/Libraries/LibGateway/RequestForwarder.cpp
+++ b/Libraries/LibGateway/RequestForwarder.cpp
@@ -560,7 +560,7 @@
     }
     if (m_has_started_response)
         return abort_response("stopping");
-    fail(Status::s_bad_gateway, "stopping", "this gateway is shutting down");
+    fail(Status::s_bad_gateway, "stopping", "this gateway is stopping");
 }
 
 void RequestForwarder::fail(
